--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -28,7 +28,7 @@
 from peridotdock.membership import Membership
 from peridotdock.mesh import Mesh
 from peridotdock.platform.adapter import PlatformAdapter
-from peridotdock.relay.asks import ModelWish, PromptPart
+from peridotdock.relay.requests import InferenceSpec, PromptPart
 from peridotdock.relay.node import DEMAND_SECONDS, WORDS_PER_SECOND, WORK_SECONDS, Node
 from peridotdock.relay.peers import UPWARD
 from peridotdock.relay.settings import Address, HostSettings, Listen, parse_address
@@ -270,7 +270,7 @@
     loop = asyncio.get_running_loop()
     for number in range(1_000_000):
         states = list(node.fleet.states.values())
-        wish = ModelWish("m0", "", PROMPT_TOKENS, 50, (PromptPart("a", 1000),))
+        wish = InferenceSpec("m0", "", PROMPT_TOKENS, 50, (PromptPart("a", 1000),))
         if states:
             state, ask = rng.choice(states), f"r{number}"
             node.fleet.began(state, ask, wish, PROMPT_TOKENS)
--- a/peridotdock/clients/engines.py
+++ b/peridotdock/clients/engines.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from peridotdock.errors import Failure
-from peridotdock.relay.asks import EndpointEntry, HeldModel
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
 
 
 class Action(StrEnum):
@@ -54,7 +54,7 @@
 
     seq: int
     busy: bool
-    models: Mapping[str, HeldModel]
+    models: Mapping[str, LoadedModel]
     coming: frozenset[str]
     in_memory: frozenset[str]
     on_disk: frozenset[str]
--- a/peridotdock/platform/endpoints.py
+++ b/peridotdock/platform/endpoints.py
@@ -11,7 +11,7 @@
 
 from peridotdock.clients.engines import EngineState
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import EndpointEntry, HeldModel
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.settings import parse_address
 
 # ValueError is that of an address and, as its subclass, that of a field's type; deep nesting ends
@@ -78,16 +78,16 @@
         return Failure(Kind.BAD_REQUEST, f"entry {incarnation}: {type(exc).__name__}: {exc}")
     at_hand = row.at_hand or AtHandRow()
     return EndpointEntry(
-        incarnation=incarnation,
+        endpoint_id=incarnation,
         service=row.service,
         address=row.address,
         domain=row.zone,
         slots=row.slots,
-        leaving=row.state != "ready",
+        draining=row.state != "ready",
         models=read_held(row.models),
         in_memory=frozenset(at_hand.in_memory or ()),
         on_disk=frozenset(at_hand.on_disk or ()),
-        born=row.born,
+        started_ms=row.born,
     )
 
 
@@ -109,10 +109,10 @@
     )
 
 
-def read_held(rows: list[HeldRow] | None) -> dict[str, HeldModel]:
+def read_held(rows: list[HeldRow] | None) -> dict[str, LoadedModel]:
     """Return the models that an endpoint holds, by name."""
     return {
-        row.name: HeldModel(row.version, frozenset(map(without_version, row.adapters or ())))
+        row.name: LoadedModel(row.version, frozenset(map(without_version, row.adapters or ())))
         for row in rows or ()
     }
 
--- a/peridotdock/platform/engines.py
+++ b/peridotdock/platform/engines.py
@@ -5,7 +5,7 @@
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.platform.endpoints import decode_report
 from peridotdock.platform.wire import TARGET
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 
 ORDER_PATH = "/v1/order"
 REPORT_PATH = "/v1/report"
@@ -41,7 +41,7 @@
         }
         if order.adapter:
             body["adapter"] = order.adapter
-        headers = {TARGET: entry.incarnation, "content-type": "application/json"}
+        headers = {TARGET: entry.endpoint_id, "content-type": "application/json"}
         outcome = await self._endpoints.control_call(
             "POST", f"http://{entry.address}", ORDER_PATH, CALL_SECONDS, body, headers
         )
@@ -52,7 +52,7 @@
 
     async def report(self, entry: EndpointEntry) -> EngineState | Failure:
         """Read a report."""
-        headers = {TARGET: entry.incarnation}
+        headers = {TARGET: entry.endpoint_id}
         outcome = await self._endpoints.control_call(
             "GET", f"http://{entry.address}", REPORT_PATH, CALL_SECONDS, None, headers
         )
--- a/peridotdock/platform/settings.py
+++ b/peridotdock/platform/settings.py
@@ -63,7 +63,7 @@
 def decode_bounds(raw: Mapping[str, Any]) -> Bounds:
     """Return the bounds, in seconds where the file has milliseconds."""
     return Bounds(
-        leaving=raw["drain_ms"] / 1000,
+        drain=raw["drain_ms"] / 1000,
         config=raw["config_ms"] / 1000,
         # The time from SIGTERM to SIGKILL.
         stopping=float(raw["grace_s"]),
--- a/peridotdock/platform/wire.py
+++ b/peridotdock/platform/wire.py
@@ -6,11 +6,11 @@
 from peridotdock.clients.http import read_rest
 from peridotdock.credentials import NO_KEY, read_bearer
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import (
+from peridotdock.relay.requests import (
     AnswerHead,
-    ModelWish,
+    InferenceSpec,
     PromptPart,
-    RelayAsk,
+    RelayRequest,
     RequestHead,
     SendOptions,
 )
@@ -98,24 +98,24 @@
                 host=named.get("host", "").partition(":")[0].lower(),
                 seconds=read_milliseconds(named.get(DEADLINE)),
                 resume_after=named.get(RESUME, ""),
-                wish=read_wish(named),
+                inference=read_wish(named),
                 headers=tuple((name, value) for name, value in rows if name not in dropped),
-                own_identity=tuple(row for row in rows if row[0] in IDENTITY),
+                identity_headers=tuple(row for row in rows if row[0] in IDENTITY),
                 key=read_key(rows),
                 tokens=count_tokens(named.get(TOKENS, "")),
             )
         except ValueError as exc:
             return Failure(Kind.BAD_REQUEST, str(exc))
 
-    def write_send(self, ask: RelayAsk, options: SendOptions) -> dict[str, str]:
+    def write_send(self, req: RelayRequest, options: SendOptions) -> dict[str, str]:
         """Return the headers of one send; the host name goes on as the caller sent it."""
-        headers = dict(ask.head.headers + ask.identity.headers)
-        if ask.identity.workspace is not None:
-            headers[WORKSPACE] = ask.identity.workspace.name
-        headers["host"] = ask.head.host
-        headers[TARGET] = options.incarnation
+        headers = dict(req.head.headers + req.identity.headers)
+        if req.identity.workspace is not None:
+            headers[WORKSPACE] = req.identity.workspace.name
+        headers["host"] = req.head.host
+        headers[TARGET] = options.endpoint_id
         headers[DEADLINE] = str(max(1, int(options.seconds * 1000)))
-        if ask.head.wish is not None:
+        if req.head.inference is not None:
             headers[PRIORITY] = str(options.priority)
         if options.resume_after:
             headers[RESUME] = options.resume_after
@@ -132,8 +132,8 @@
             receipt=headers.get(RECEIPT, ""),
             content_type=headers.get("content-type", "application/octet-stream"),
             rate_limit=read_rate(headers.get(RATE_LIMIT)),
-            leaving=headers.get(LEAVING, "").strip() == LEAVES,
-            rest=read_rest(headers) if status == UNAVAILABLE else 0.0,
+            draining=headers.get(LEAVING, "").strip() == LEAVES,
+            backoff=read_rest(headers) if status == UNAVAILABLE else 0.0,
             headers=tuple(
                 row for row in rows if row[0] not in SERVER_HEADERS and row[0] != "content-type"
             ),
@@ -185,13 +185,13 @@
     return value
 
 
-def read_wish(named: Mapping[str, str]) -> ModelWish | None:
+def read_wish(named: Mapping[str, str]) -> InferenceSpec | None:
     """Return the model work asked for; raises ValueError when a header can't be read."""
     if MODEL not in named:
         return None
     model, _, adapter = named[MODEL].partition("/")
     prompt, _, output = named.get(TOKENS, "0,0").partition(",")
-    return ModelWish(
+    return InferenceSpec(
         model=model,
         adapter=adapter,
         prompt_tokens=int(prompt),
--- a/peridotdock/relay/adapter.py
+++ b/peridotdock/relay/adapter.py
@@ -9,7 +9,7 @@
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure
 from peridotdock.metrics import Metrics
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.settings import Address
 from peridotdock.relay.wire import Wire
 
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -8,8 +8,8 @@
 from peridotdock.clients.endpoint import Opened
 from peridotdock.clients.http import BROKEN
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import AnswerHead
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.requests import AnswerHead
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.events import EventSplitter, StreamEvent
 from peridotdock.requests import Loss, State, lose
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class CompleteAnswer:
     """A whole answer of an endpoint."""
 
     state: EndpointState
@@ -26,17 +26,17 @@
     body: bytes
 
     @property
-    def erred(self) -> bool:
+    def is_server_error(self) -> bool:
         """Tell whether the endpoint answered with a failure of its own."""
         return self.head.status >= SERVER_ERROR
 
 
-def no_more() -> float:
+def no_extension() -> float:
     """Return that a wait is not prolonged."""
     return 0.0
 
 
-class Patience:
+class StallTimeout:
     """Ends waits that last too long, with one timer for many short waits.
 
     An event of a stream comes each 20 ms, and a wait of seconds for each is begun and given up as
@@ -45,60 +45,60 @@
     """
 
     def __init__(self, give_up: Callable[[], None]):
-        self._give_up = give_up
+        self._on_timeout = give_up
         self._loop = asyncio.get_running_loop()
-        self._due = math.inf
-        self._more: Callable[[], float] = no_more
+        self._deadline = math.inf
+        self._extra_seconds: Callable[[], float] = no_extension
         self._timer: asyncio.TimerHandle | None = None
-        self.over = False
-        self.prolonged = False
+        self.expired = False
+        self.extended = False
 
-    def begin(self, seconds: float, more: Callable[[], float]) -> None:
+    def begin(self, seconds: float, extra_seconds: Callable[[], float]) -> None:
         """Begin a wait; ``more`` gives the seconds to wait on for when it is over, 0 for none."""
-        self.prolonged = False
-        self._more = more
+        self.extended = False
+        self._extra_seconds = extra_seconds
         self._wait(seconds)
 
     def _wait(self, seconds: float) -> None:
-        self._due = self._loop.time() + max(0.0, seconds)
-        if self._timer is not None and self._timer.when() > self._due:
+        self._deadline = self._loop.time() + max(0.0, seconds)
+        if self._timer is not None and self._timer.when() > self._deadline:
             self._timer.cancel()
             self._timer = None
         if self._timer is None:
-            self._timer = self._loop.call_at(self._due, self._look)
+            self._timer = self._loop.call_at(self._deadline, self._check)
 
     def end(self) -> None:
         """Note that what was waited for has come."""
-        self._due = math.inf
+        self._deadline = math.inf
 
     def close(self) -> None:
         """Stop the timer."""
-        self._due = math.inf
+        self._deadline = math.inf
         if self._timer is not None:
             self._timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         """Wait on, or end the wait one turn later: after what was read in this one."""
         self._timer = None
-        if self._due <= self._loop.time():
-            self._loop.call_soon(self._end, self._due)
-        elif self._due < math.inf:
-            self._timer = self._loop.call_at(self._due, self._look)
+        if self._deadline <= self._loop.time():
+            self._loop.call_soon(self._end, self._deadline)
+        elif self._deadline < math.inf:
+            self._timer = self._loop.call_at(self._deadline, self._check)
 
-    def _end(self, due: float) -> None:
-        if due != self._due:
+    def _end(self, deadline: float) -> None:
+        if deadline != self._deadline:
             return
-        seconds = 0.0 if self.prolonged else self._more()
+        seconds = 0.0 if self.extended else self._extra_seconds()
         if seconds > 0:
-            self.prolonged = True
+            self.extended = True
             self._wait(seconds)
             return
-        self.over = True
-        self._give_up()
+        self.expired = True
+        self._on_timeout()
 
 
 @dataclass
-class Source:
+class StreamSource:
     """One endpoint's part of a stream. ``ready`` are whole events that were not passed on yet.
 
     ``began`` is when its first events came (monotonic seconds).
@@ -110,18 +110,18 @@
     splitter: EventSplitter = field(default_factory=EventSplitter)
     ready: list[StreamEvent] = field(default_factory=list)
     ended: bool = False
-    began: float = 0.0
+    started_at: float = 0.0
 
     def __post_init__(self) -> None:
         """Prepare to give up on an endpoint that is silent."""
-        self._patience = Patience(self.opened.abort)
+        self._stall_timeout = StallTimeout(self.opened.abort)
 
     async def fill(
         self,
-        caller: CallerEnd,
+        caller: CallerConnection,
         seconds: float,
         silent: bool,
-        more: Callable[[], float] = no_more,
+        extra_seconds: Callable[[], float] = no_extension,
     ) -> Failure | None:
         """Read until there are whole events or the stream has ended.
 
@@ -130,26 +130,26 @@
         to be waited for all the same. An endpoint may stop in the middle of an event: that is a
         cut, not an end.
         """
-        self._patience.begin(seconds, more)
+        self._stall_timeout.begin(seconds, extra_seconds)
         try:
             while not self.ready and not self.ended:
                 part = await self.opened.read_some()
                 self.ready += self.splitter.feed(part)
                 self.ended = not part
         except BROKEN as exc:
-            if caller.gone():
+            if caller.is_disconnected():
                 return lose(State.FIRST_BYTE, Loss.CALLER_GONE)
-            if self._patience.over:
-                silent = silent and not self._patience.prolonged
+            if self._stall_timeout.expired:
+                silent = silent and not self._stall_timeout.extended
                 return lose(State.FIRST_BYTE, Loss.SILENCE if silent else Loss.DEADLINE)
             return Failure(Kind.ANSWER_CUT, type(exc).__name__)
         finally:
-            self._patience.end()
+            self._stall_timeout.end()
         if self.ended and self.splitter.partial:
             return Failure(Kind.ANSWER_CUT, "ended in the middle of an event")
         return None
 
-    def take(self) -> list[StreamEvent]:
+    def pop_ready(self) -> list[StreamEvent]:
         """Return the events that are ready, each once."""
         ready, self.ready = self.ready, []
         return ready
@@ -158,8 +158,8 @@
         """Close the connection: the endpoint stops its work when it sees the close."""
         self.opened.abort()
 
-    async def close(self, caller: CallerEnd) -> None:
+    async def close(self, caller: CallerConnection) -> None:
         """End this part; a connection that was not read to its end is closed."""
-        self._patience.close()
-        caller.left.remove_done_callback(self.abort)
+        self._stall_timeout.close()
+        caller.disconnected.remove_done_callback(self.abort)
         await self.opened.release()
--- a/peridotdock/relay/caller.py
+++ b/peridotdock/relay/caller.py
@@ -7,24 +7,24 @@
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 
 
-class CallerEnd:
+class CallerConnection:
     """Tells when the caller has closed its connection; ``left`` is done from then on."""
 
     def __init__(self, receive: Receive):
-        self.left: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.disconnected: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._watching = asyncio.ensure_future(self._watch(receive))
 
     async def _watch(self, receive: Receive) -> None:
         """Wait for the server's word; once the body was read, the next word is the close."""
         while (await receive())["type"] != "http.disconnect":
             continue
-        if not self.left.done():
-            self.left.set_result(None)
+        if not self.disconnected.done():
+            self.disconnected.set_result(None)
 
-    def gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Tell whether the caller has left."""
-        return self.left.done()
+        return self.disconnected.done()
 
-    def release(self) -> None:
+    def stop_watching(self) -> None:
         """Stop watching."""
         self._watching.cancel()
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -8,18 +8,18 @@
 from peridotdock.decisions.choice import Candidate, Prediction, choose, predict
 from peridotdock.decisions.overload import judge_send, retry_after
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.asks import RelayAsk
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.requests import RelayRequest
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.grants import Granted, Grants
+from peridotdock.relay.grants import GrantedEndpoint, Grants
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
-from peridotdock.relay.waits import Waits
+from peridotdock.relay.waits import EndpointWaits
 from peridotdock.requests import Loss, State, lose
 from peridotdock.turns import find_turns
 
 # Seconds until a caller may come back when no endpoint has what it asks for.
-ABSENT_RETRY_SECONDS = 0.5
+NO_ENDPOINT_RETRY_SECONDS = 0.5
 
 
 class Chooser:
@@ -29,7 +29,7 @@
         self,
         ctx: Context,
         fleet: RelayFleet,
-        waits: Waits,
+        waits: EndpointWaits,
         grants: Grants,
         permits: EndpointPermits,
     ):
@@ -40,98 +40,102 @@
         self._permits = permits
         self._turns = find_turns()
 
-    async def find(
-        self, ask: RelayAsk, caller: CallerEnd, progress: Progress
+    async def choose_endpoint(
+        self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Prediction | Failure:
         """Choose an endpoint, after waiting for one where none can serve the request yet."""
-        refusal = await self._waits.until_usable(ask, caller, progress)
+        refusal = await self._waits.wait_until_usable(req, caller, progress)
         if refusal is not None:
             return refusal
-        granted = await self._ask_hub(ask, caller, progress)
-        if failed(granted):
-            return granted
-        found = None if granted is None else self._follow(granted, ask, progress)
+        grant = await self._request_grant(req, caller, progress)
+        if failed(grant):
+            return grant
+        found = None if grant is None else self._use_grant(grant, req, progress)
         if found is None:
-            found = await self._choose_alone(ask, caller, progress)
+            found = await self._choose_locally(req, caller, progress)
         if failed(found):
             return found
-        left = ask.deadline - self._ctx.clock.monotonic()
-        trouble = judge_send(left, found.seconds, self._turns.usual())
-        if trouble is not None:
-            return Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
+        remaining = req.deadline - self._ctx.clock.monotonic()
+        reason = judge_send(remaining, found.seconds, self._turns.usual())
+        if reason is not None:
+            return Failure(Kind.HOST_BEHIND, reason, retry_after(self._ctx.rng.random))
         return found
 
-    def _candidates(self, ask: RelayAsk, progress: Progress) -> list[Candidate]:
+    def _candidates(self, req: RelayRequest, progress: Progress) -> list[Candidate]:
         """Return the endpoints not tried yet, or all: one that cut a stream may still have it."""
-        states = self._fleet.usable(progress.service, ask.head.wish)
+        states = self._fleet.usable(progress.service, req.head.inference)
         avoid = frozenset(progress.avoid)
         if all(state.key in avoid for state in states):
             avoid = frozenset()
-        return self._fleet.candidates(states, ask.head.wish, avoid)
+        return self._fleet.candidates(states, req.head.inference, avoid)
 
-    async def _ask_hub(
-        self, ask: RelayAsk, caller: CallerEnd, progress: Progress
-    ) -> Granted | Failure | None:
+    async def _request_grant(
+        self, req: RelayRequest, caller: CallerConnection, progress: Progress
+    ) -> GrantedEndpoint | Failure | None:
         """Ask when a prompt may be sent and to whom; None where this host is to choose."""
-        candidates = self._candidates(ask, progress)
-        awake = [row for row in candidates if not row.rest]
-        if ask.head.wish is None or not awake:
+        candidates = self._candidates(req, progress)
+        accepting = [row for row in candidates if not row.rest]
+        if req.head.inference is None or not accepting:
             return None
-        avoid = find_suspects(awake) | {row.key for row in candidates if row.rest}
+        avoid = find_suspects(accepting) | {row.key for row in candidates if row.rest}
         if candidates[0].key not in progress.avoid:
             avoid |= progress.avoid
-        return await self._grants.ask(ask, progress.service, frozenset(avoid), caller)
+        return await self._grants.request_grant(req, progress.service, frozenset(avoid), caller)
 
-    def _follow(self, granted: Granted, ask: RelayAsk, progress: Progress) -> Prediction | None:
+    def _use_grant(
+        self, grant: GrantedEndpoint, req: RelayRequest, progress: Progress
+    ) -> Prediction | None:
         """Return the endpoint that the hub named, unless this host knows that it can't serve."""
-        wish = ask.head.wish
-        state = self._fleet.states.get(granted.endpoint)
-        if state is None or state not in self._fleet.usable(progress.service, wish):
+        inference = req.head.inference
+        state = self._fleet.states.get(grant.endpoint)
+        if state is None or state not in self._fleet.usable(progress.service, inference):
             return None
         if state.rests_until > self._ctx.clock.monotonic():
             return None
-        work = self._fleet.work(progress.service, wish)
-        row = self._fleet.candidates_known([state], wish, frozenset(), "")[0]
-        row = replace(row, ahead=granted.ahead / work.per_token)
+        work = self._fleet.work(progress.service, inference)
+        row = self._fleet.candidates_known([state], inference, frozenset(), "")[0]
+        row = replace(row, ahead=grant.ahead / work.per_token)
         return Prediction(row, predict(row, work), granted=True)
 
-    async def _choose_alone(
-        self, ask: RelayAsk, caller: CallerEnd, progress: Progress
+    async def _choose_locally(
+        self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Prediction | Failure:
         """Choose by what this host knows, of the endpoints that take a request of it now.
 
         One that has named a limit needs a permit.
         """
-        while not caller.gone():
-            rows = self._candidates(ask, progress)
-            open_ones = [row for row in rows if not row.opens_in]
-            if rows and not open_ones:
-                found = await self._waits.until_open(ask, caller, progress, rows)
+        while not caller.is_disconnected():
+            rows = self._candidates(req, progress)
+            accepting = [row for row in rows if not row.opens_in]
+            if rows and not accepting:
+                found = await self._waits.wait_until_accepting(req, caller, progress, rows)
                 if found is None:
                     continue
                 return found
-            found = self._choose_among(open_ones, ask, progress)
+            found = self._choose_among(accepting, req, progress)
             if failed(found) or not found.candidate.limited:
                 return found
-            permit = await self._permits.ask(self._fleet.states[found.candidate.key], caller=caller)
+            permit = await self._permits.request_permit(
+                self._fleet.states[found.candidate.key], caller=caller
+            )
             if permit.given:
                 return found
         return lose(State.ADMITTED, Loss.CALLER_GONE)
 
     def _choose_among(
-        self, candidates: Sequence[Candidate], ask: RelayAsk, progress: Progress
+        self, candidates: Sequence[Candidate], req: RelayRequest, progress: Progress
     ) -> Prediction | Failure:
         """Choose one of some endpoints, and turn away what would wait for too long."""
-        work = self._fleet.work(progress.service, ask.head.wish)
+        work = self._fleet.work(progress.service, req.head.inference)
         found = choose(candidates, work, self._ctx.rng)
         if found is None:
-            return Failure(Kind.NO_ENDPOINT, progress.service, ABSENT_RETRY_SECONDS)
-        stays = ask.first_by - self._ctx.clock.monotonic()
-        crowd = judge_wait(found, work, stays, ask.rank)
-        if crowd is None or progress.maybe_ran:
+            return Failure(Kind.NO_ENDPOINT, progress.service, NO_ENDPOINT_RETRY_SECONDS)
+        max_wait = req.first_event_deadline - self._ctx.clock.monotonic()
+        overload = judge_wait(found, work, max_wait, req.rank)
+        if overload is None or progress.maybe_ran:
             return found
-        reason = f"a wait of {crowd.wait:.2f} s, {crowd.allowed:.2f} allowed"
-        return Failure(Kind.OVERLOADED, reason, crowd.retry_after(self._ctx.rng.random))
+        reason = f"a wait of {overload.wait:.2f} s, {overload.allowed:.2f} allowed"
+        return Failure(Kind.OVERLOADED, reason, overload.retry_after(self._ctx.rng.random))
 
 
 def find_suspects(candidates: Sequence[Candidate]) -> set[str]:
--- a/peridotdock/relay/endpoint.py
+++ b/peridotdock/relay/endpoint.py
@@ -7,7 +7,7 @@
 
 from peridotdock.blocklist import EndpointStart
 from peridotdock.decisions.health import Health
-from peridotdock.relay.asks import EndpointEntry, ModelWish
+from peridotdock.relay.requests import EndpointEntry, InferenceSpec
 from peridotdock.schema.messages import EngineNews
 
 # Seconds for which the word of the host that orders engines goes before an engine's own entry,
@@ -117,19 +117,19 @@
     @property
     def leaving(self) -> bool:
         """Tell whether the endpoint leaves, by its entry or by its own word in an answer."""
-        return self.entry.leaving or self.said_leaving
+        return self.entry.draining or self.said_leaving
 
     @property
     def key(self) -> str:
         """Return the endpoint's id."""
-        return self.entry.incarnation
+        return self.entry.endpoint_id
 
     @property
     def start(self) -> EndpointStart:
         """Return what tells this start from others under the same id."""
         return name_start(self.entry)
 
-    def holds(self, wish: ModelWish, now: float) -> bool:
+    def holds(self, wish: InferenceSpec, now: float) -> bool:
         """Tell whether the endpoint can serve a model, and the adapter where one is wished for.
 
         Its own entry comes with a heartbeat; for some seconds after an order, the word of the host
@@ -148,7 +148,7 @@
         held = self.entry.models.get(wish.model)
         return held is not None and (not wish.adapter or wish.adapter in held.adapters)
 
-    def note_lack(self, wish: ModelWish, now: float) -> None:
+    def note_lack(self, wish: InferenceSpec, now: float) -> None:
         """Note the endpoint's word that it does not hold what is wished for.
 
         Failure guarded against: a model was dropped a moment ago, or an adapter is on its way. What
@@ -218,7 +218,7 @@
             tokens += self.others.tokens
         return running, tokens
 
-    def cached(self, wish: ModelWish) -> int:
+    def cached(self, wish: InferenceSpec) -> int:
         """Return how many leading tokens of a prompt are thought to be kept there."""
         kept = 0
         place = cache_place(wish)
@@ -228,7 +228,7 @@
             kept += part.tokens
         return kept
 
-    def remember(self, wish: ModelWish) -> None:
+    def remember(self, wish: InferenceSpec) -> None:
         """Take the parts of a prompt as kept there from now on."""
         place = cache_place(wish)
         for part in wish.parts:
@@ -246,26 +246,26 @@
     News of the new start may have come before its entry.
     """
     state = EndpointState(entry, Health())
-    if known is not None and known.heard is not None and known.heard.news.born == entry.born:
+    if known is not None and known.heard is not None and known.heard.news.born == entry.started_ms:
         state.heard = known.heard
     return state
 
 
 def name_start(entry: EndpointEntry) -> EndpointStart:
     """Return what tells the start of an entry from others under the same id."""
-    return EndpointStart(entry.incarnation, str(entry.born))
+    return EndpointStart(entry.endpoint_id, str(entry.started_ms))
 
 
 def out_of_date(heard: HeardNews, entry: EndpointEntry) -> bool:
     """Tell whether news is of a start before the one that an entry shows."""
-    return 0 < heard.news.born < entry.born
+    return 0 < heard.news.born < entry.started_ms
 
 
-def name_wish(wish: ModelWish) -> str:
+def name_wish(wish: InferenceSpec) -> str:
     """Return the name of the model, or of the adapter of one, that is wished for."""
     return f"{wish.model}/{wish.adapter}" if wish.adapter else wish.model
 
 
-def cache_place(wish: ModelWish) -> str:
+def cache_place(wish: InferenceSpec) -> str:
     """Return under what an engine keeps prompt parts: one model with one adapter."""
     return f"{wish.model}/{wish.adapter}"
--- a/peridotdock/relay/entries.py
+++ b/peridotdock/relay/entries.py
@@ -4,7 +4,7 @@
 
 from peridotdock.context import Context
 from peridotdock.errors import Failure, failed
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
 
 Decode = Callable[[str, bytes], EndpointEntry | Failure]
@@ -64,9 +64,12 @@
                 self._ctx.timeline.add("endpoint_gone", endpoint=key)
             return
         known = None if state is None else state.entry
-        if known is None or (known.leaving, known.born) != (entry.leaving, entry.born):
-            word = "leaving" if entry.leaving else "ready"
-            detail = f"born {entry.born}, holds {' '.join(sorted(entry.models))}"
+        if known is None or (known.draining, known.started_ms) != (
+            entry.draining,
+            entry.started_ms,
+        ):
+            word = "leaving" if entry.draining else "ready"
+            detail = f"born {entry.started_ms}, holds {' '.join(sorted(entry.models))}"
             self._ctx.timeline.add(f"endpoint_{word}", endpoint=key, detail=detail)
 
     def _note_start(self, entry: EndpointEntry) -> None:
@@ -75,7 +78,7 @@
         Failure guarded against: an endpoint crashes behind a cut, so that nobody closes its
         connections, and starts again. The next request over a kept one gets no answer.
         """
-        start = entry.incarnation, entry.born
+        start = entry.endpoint_id, entry.started_ms
         if self._starts.setdefault(entry.address, start) != start:
             self._starts[entry.address] = start
             self._other_start(entry.address)
--- a/peridotdock/relay/events.py
+++ b/peridotdock/relay/events.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-END = re.compile(rb"\n\n|\r\n\r\n")
+EVENT_END = re.compile(rb"\n\n|\r\n\r\n")
 ID_FIELD = re.compile(rb"^id:(.*)$", re.MULTILINE)
 
 
@@ -26,7 +26,7 @@
         data = self.partial + part
         events = []
         begin = 0
-        for found in END.finditer(data):
+        for found in EVENT_END.finditer(data):
             raw = data[begin : found.end()]
             begin = found.end()
             events.append(StreamEvent(read_id(raw), raw))
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -9,7 +9,7 @@
 from peridotdock.decisions.choice import STEP_SECONDS, Candidate, Work, trust_preferred
 from peridotdock.decisions.permits import permit_gap
 from peridotdock.deployment import Model
-from peridotdock.relay.asks import EndpointEntry, ModelWish
+from peridotdock.relay.requests import EndpointEntry, InferenceSpec
 from peridotdock.relay.endpoint import (
     NO_LOAD,
     EndpointState,
@@ -63,14 +63,14 @@
         old = self.states
         self.states = {}
         for entry in entries:
-            state = old.get(entry.incarnation)
-            if state is None or state.entry.born != entry.born:
+            state = old.get(entry.endpoint_id)
+            if state is None or state.entry.started_ms != entry.started_ms:
                 state = next_start(state, entry)
                 before = self._departed.pop(state.start, None)
                 if before is not None:
                     state.recall(before)
             state.take_entry(entry)
-            self.states[entry.incarnation] = state
+            self.states[entry.endpoint_id] = state
         for key, state in old.items():
             if self.states.get(key) is not state:
                 self._depart(state)
@@ -107,7 +107,7 @@
         change, self._change = self._change, asyncio.get_running_loop().create_future()
         change.set_result(None)
 
-    def usable(self, service: str, wish: ModelWish | None) -> list[EndpointState]:
+    def usable(self, service: str, wish: InferenceSpec | None) -> list[EndpointState]:
         """Return the endpoints of a service that take new work and hold what is wished for."""
         now = self._clock.monotonic()
         rows = self.by_service.get(service, ())
@@ -167,7 +167,7 @@
         """Wait until the endpoints or what they hold have changed."""
         await asyncio.shield(self._change)
 
-    def work(self, service: str, wish: ModelWish | None) -> Work:
+    def work(self, service: str, wish: InferenceSpec | None) -> Work:
         """Return what a request asks of an endpoint, by what was measured so far."""
         seconds = self._service.get(service, FIRST_GUESS_SERVICE)
         if wish is None:
@@ -187,7 +187,7 @@
         self._event[service] = usual + gain * (min(seconds, 2 * usual) - usual)
 
     def candidates(
-        self, states: Iterable[EndpointState], wish: ModelWish | None, avoid: frozenset[str]
+        self, states: Iterable[EndpointState], wish: InferenceSpec | None, avoid: frozenset[str]
     ) -> list[Candidate]:
         """Return the endpoints as they look for one request of this host.
 
@@ -206,7 +206,7 @@
     def candidates_known(
         self,
         states: Iterable[EndpointState],
-        wish: ModelWish,
+        wish: InferenceSpec,
         avoid: frozenset[str],
         domain: str,
     ) -> list[Candidate]:
@@ -228,7 +228,7 @@
     def _look(
         self,
         state: EndpointState,
-        wish: ModelWish | None,
+        wish: InferenceSpec | None,
         preferred: bool,
         now: float,
         domain: str,
@@ -255,7 +255,7 @@
         self,
         state: EndpointState,
         ask_id: str,
-        wish: ModelWish | None,
+        wish: InferenceSpec | None,
         tokens: int,
         alone: bool | None = None,
     ) -> None:
@@ -272,7 +272,7 @@
         if wish is not None:
             state.remember(wish)
 
-    def answered(self, state: EndpointState, ask_id: str, wish: ModelWish | None) -> None:
+    def answered(self, state: EndpointState, ask_id: str, wish: InferenceSpec | None) -> None:
         """Note the first token of a request and learn from how long it took."""
         flight = state.flights.get(ask_id)
         if flight is None or not flight.waiting:
@@ -311,12 +311,12 @@
     return model.from_disk if model.name in entry.on_disk else model.load
 
 
-def count_shared(wish: ModelWish) -> int:
+def count_shared(wish: InferenceSpec) -> int:
     """Return the prompt tokens that other requests may share."""
     return sum(part.tokens for part in wish.parts[:-1])
 
 
-def find_favourite(states: list[EndpointState], wish: ModelWish | None) -> str:
+def find_favourite(states: list[EndpointState], wish: InferenceSpec | None) -> str:
     """Return the endpoint that all hosts prefer for a prompt's shared part, or nothing.
 
     Hosts don't tell each other which prompts they sent where; the same hash on all of them brings
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -23,8 +23,8 @@
 )
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import ModelWish, PromptPart, RelayAsk
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.requests import InferenceSpec, PromptPart, RelayRequest
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState, name_wish
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.requests import Loss, State, lose
@@ -34,44 +34,44 @@
 
 # Seconds that the hub's first word may take, and turns of this host's loop beside: two trips
 # between failure domains and the hub's own turn.
-WORD_SECONDS = 0.03
-WORD_TURNS = 3
+GRANT_TIMEOUT_SECONDS = 0.03
+GRANT_TIMEOUT_ITERATIONS = 3
 # Seconds for which a hub is not asked that gave no word, and at most, as it doubles.
-REST_SECONDS = 0.25
-LONGEST_REST = 2.0
+MIN_HUB_BACKOFF_SECONDS = 0.25
+MAX_HUB_BACKOFF_SECONDS = 2.0
 # Seconds between two looks whether the hub that holds a queued prompt is still there.
-LOOK_SECONDS = 0.2
+HUB_CHECK_SECONDS = 0.2
 # Seconds between the sending of a prompt and its first token besides reading: a step of the engine,
 # the way there and back, and to the caller.
-WAY_SECONDS = 0.03
+FIRST_TOKEN_OVERHEAD_SECONDS = 0.03
 # Seconds after which a caller whose prompt waits for too long may come back, at least and at most.
-SHORTEST_RETRY = 0.2
-LONGEST_RETRY = 4.0
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 4.0
 # Spread of that time, so that those that were turned away together don't come back together.
-RETRY_SPREAD = 0.5
+RETRY_JITTER_SHARE = 0.5
 
 # Seconds over which what is held back is averaged, and the step of prompt tokens that is told.
-QUEUED_SECONDS = 2.0
-QUEUED_STEP = 500
+QUEUED_AVERAGE_SECONDS = 2.0
+QUEUED_STEP_TOKENS = 500
 
 SendFrame = Callable[[str, GrantFrame], None]
 # Gives the seconds until an endpoint may get a request, and between two; 0 without a limit.
-FindPermit = Callable[[EndpointState], tuple[float, float]]
+PermitWaits = Callable[[EndpointState], tuple[float, float]]
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class QueuedGrant:
     """What a host asked for: where the answer goes, and who may serve the prompt."""
 
     host: str
     number: int
     service: str
-    wish: ModelWish
+    inference: InferenceSpec
     avoid: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class GrantedEndpoint:
     """The endpoint that a prompt is to be sent to, and the seconds of reading before it there."""
 
     endpoint: str
@@ -89,12 +89,12 @@
         self._send = send
         self._find_domain = find_domain
         self._pacers: dict[str, Pacer] = {}
-        self._wanted: dict[tuple[str, int], Wanted] = {}
+        self._queued_grants: dict[tuple[str, int], QueuedGrant] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._pauses: Mapping[str, float] = {}
-        self._controls: dict[str, PaceControl] = {}
+        self._pace_controls: dict[str, PaceControl] = {}
         self._queued: dict[str, MovingAverage] = {}
-        self.find_permit: FindPermit = lambda state: (0.0, 0.0)
+        self.permit_waits: PermitWaits = lambda state: (0.0, 0.0)
         self.spend_permit: Callable[[EndpointState], None] = lambda state: None
 
     def take_deployment(self, deployment: Deployment) -> None:
@@ -110,7 +110,7 @@
         return limit_pace(pause, self._fleet.event_seconds(service), factor)
 
     def _control(self, service: str) -> PaceControl:
-        return self._controls.setdefault(service, PaceControl())
+        return self._pace_controls.setdefault(service, PaceControl())
 
     def note_gap(self, service: str, key: str, gap: float) -> None:
         """Learn from the time between two events of a stream of this host's own."""
@@ -121,117 +121,123 @@
             given = pacer.given(key, now, limit)
             self._control(service).note_gap(now, gap, pause, given, limit)
 
-    def take(self, host: str, frame: GrantWanted) -> None:
+    def enqueue(self, host: str, frame: GrantWanted) -> None:
         """Take a host's prompt into the queue, and answer at once where it can be."""
         now = self._ctx.clock.monotonic()
         if len(frame.parts) != len(frame.part_tokens):
             self._ctx.timeline.add("bad_frame", "WARNING", detail=f"{host}: parts without tokens")
             return
-        wish = read_wish(frame)
+        inference = read_inference(frame)
         key = host, frame.number
-        self._wanted[key] = Wanted(host, frame.number, frame.service, wish, frozenset(frame.avoid))
-        work = self._fleet.work(frame.service, wish)
-        first = now + frame.spare / 1000 - work.tokens * work.per_token - WAY_SECONDS
-        item = name_wish(wish)
-        stays = now + frame.stays / 1000
+        self._queued_grants[key] = QueuedGrant(
+            host, frame.number, frame.service, inference, frozenset(frame.avoid)
+        )
+        work = self._fleet.work(frame.service, inference)
+        send_by = (
+            now + frame.spare / 1000 - work.tokens * work.per_token - FIRST_TOKEN_OVERHEAD_SECONDS
+        )
+        item = name_wish(inference)
+        stay_until = now + frame.stays / 1000
         pacer = self._pacers.setdefault(frame.service, Pacer(self._ctx.rng))
-        pacer.add(PromptAsk(key, item, work, frame.rank, first, stays, bool(frame.avoid)))
-        self._pump(frame.service)
-        if key in self._wanted:
+        pacer.add(PromptAsk(key, item, work, frame.rank, send_by, stay_until, bool(frame.avoid)))
+        self._schedule(frame.service)
+        if key in self._queued_grants:
             self._send(host, GrantFrame("grant", frame.number, "", 0))
 
     def drop(self, host: str, frame: GrantDropped) -> None:
         """Forget a prompt that its host does not wait for any more."""
-        wanted = self._wanted.pop((host, frame.number), None)
-        if wanted is not None:
-            self._pacers[wanted.service].drop((host, frame.number))
+        queued = self._queued_grants.pop((host, frame.number), None)
+        if queued is not None:
+            self._pacers[queued.service].drop((host, frame.number))
 
     def queued(self) -> dict[str, int]:
         """Return the prompt tokens that are held back, by model, over some seconds."""
         now = self._ctx.clock.monotonic()
         tokens: dict[str, int] = {}
-        for wanted in self._wanted.values():
-            model = wanted.wish.model
-            tokens[model] = tokens.get(model, 0) + wanted.wish.prompt_tokens
+        for queued in self._queued_grants.values():
+            model = queued.inference.model
+            tokens[model] = tokens.get(model, 0) + queued.inference.prompt_tokens
         for model in tokens:
-            self._queued.setdefault(model, MovingAverage(QUEUED_SECONDS))
+            self._queued.setdefault(model, MovingAverage(QUEUED_AVERAGE_SECONDS))
         found = {}
         for model, average in list(self._queued.items()):
             value = average.look(tokens.get(model, 0), now)
-            if value >= QUEUED_STEP:
-                found[model] = int(value // QUEUED_STEP * QUEUED_STEP)
+            if value >= QUEUED_STEP_TOKENS:
+                found[model] = int(value // QUEUED_STEP_TOKENS * QUEUED_STEP_TOKENS)
             elif model not in tokens:
                 del self._queued[model]
         return found
 
-    def _pump(self, service: str) -> None:
+    def _schedule(self, service: str) -> None:
         now = self._ctx.clock.monotonic()
         pacer = self._pacers[service]
         pacer.forget(self._fleet.states)
-        decided, again = pacer.pump(now, self.limit(service), self._look)
+        decided, next_at = pacer.pump(now, self.limit(service), self._candidates)
         for row in decided:
             self._answer(row)
         timer = self._timers.pop(service, None)
         if timer is not None:
             timer.cancel()
-        if again < math.inf:
+        if next_at < math.inf:
             loop = asyncio.get_running_loop()
-            self._timers[service] = loop.call_later(max(0.0, again - now), self._pump, service)
+            self._timers[service] = loop.call_later(
+                max(0.0, next_at - now), self._schedule, service
+            )
 
     def _answer(self, row: Grant | Denial) -> None:
-        wanted = self._wanted.pop(row.ask.id)
+        queued = self._queued_grants.pop(row.ask.id)
         if isinstance(row, Denial):
-            frame = GrantFrame("grant", wanted.number, "", max(1, int(row.wait * 1000)))
+            frame = GrantFrame("grant", queued.number, "", max(1, int(row.wait * 1000)))
         else:
             key = row.found.candidate.key
             state = self._fleet.states.get(key)
             if state is not None:
-                state.remember(wanted.wish)
+                state.remember(queued.inference)
                 self.spend_permit(state)
             ahead = row.found.candidate.ahead * row.ask.work.per_token
-            frame = GrantFrame("grant", wanted.number, key, 0, int(1000 * ahead))
-        self._send(wanted.host, frame)
-
-    def _look(self, ask: PromptAsk) -> list[Candidate]:
-        wanted = self._wanted[ask.id]
-        states = self._fleet.usable(wanted.service, wanted.wish)
-        domain = self._find_domain(wanted.host)
-        rows = self._fleet.candidates_known(states, wanted.wish, wanted.avoid, domain)
+            frame = GrantFrame("grant", queued.number, key, 0, int(1000 * ahead))
+        self._send(queued.host, frame)
+
+    def _candidates(self, req: PromptAsk) -> list[Candidate]:
+        queued = self._queued_grants[req.id]
+        states = self._fleet.usable(queued.service, queued.inference)
+        domain = self._find_domain(queued.host)
+        rows = self._fleet.candidates_known(states, queued.inference, queued.avoid, domain)
         return [self._with_permit(row) if row.limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
         """Return an endpoint that has named a limit with when it may get a prompt."""
-        wait, gap = self.find_permit(self._fleet.states[row.key])
+        wait, gap = self.permit_waits(self._fleet.states[row.key])
         return replace(row, permit_wait=wait, permit_gap=gap)
 
 
-class Question:
+class GrantCall:
     """A prompt that this host has asked the hub for: it is told that it waits, or decided on."""
 
     def __init__(self, hub: str, number: int):
         self.hub = hub
         self.number = number
-        self._word: asyncio.Future[GrantFrame] = asyncio.get_running_loop().create_future()
+        self._reply: asyncio.Future[GrantFrame] = asyncio.get_running_loop().create_future()
 
-    def hear(self, word: GrantFrame) -> None:
+    def on_reply(self, reply: GrantFrame) -> None:
         """Take the hub's word; a newer one takes the place of one that was not looked at."""
-        if self._word.done():
-            self._word = asyncio.get_running_loop().create_future()
-        self._word.set_result(word)
+        if self._reply.done():
+            self._reply = asyncio.get_running_loop().create_future()
+        self._reply.set_result(reply)
 
-    async def next_word(self, caller: CallerEnd, seconds: float) -> GrantFrame | None:
+    async def next_reply(self, caller: CallerConnection, seconds: float) -> GrantFrame | None:
         """Return the next word, or None when the time passes or the caller leaves."""
-        if not self._word.done():
+        if not self._reply.done():
             await asyncio.wait(
-                {self._word, caller.left},
+                {self._reply, caller.disconnected},
                 timeout=seconds,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-        if not self._word.done():
+        if not self._reply.done():
             return None
-        word = self._word.result()
-        self._word = asyncio.get_running_loop().create_future()
-        return word
+        reply = self._reply.result()
+        self._reply = asyncio.get_running_loop().create_future()
+        return reply
 
 
 class Grants:
@@ -253,124 +259,130 @@
         self._send = send
         self._turns = turns
         self.server = GrantServer(ctx, fleet, self._answer, find_domain)
-        self._number = 0
-        self._questions: dict[int, Question] = {}
-        self._rest = REST_SECONDS
-        self._rests_until = 0.0
+        self._last_number = 0
+        self._calls: dict[int, GrantCall] = {}
+        self._backoff = MIN_HUB_BACKOFF_SECONDS
+        self._backoff_until = 0.0
 
-    def take(self, host: str, frame: GrantWanted | GrantFrame | GrantDropped) -> None:
+    def on_frame(self, host: str, frame: GrantWanted | GrantFrame | GrantDropped) -> None:
         """Take a frame of another host."""
         if isinstance(frame, GrantWanted):
-            self.server.take(host, frame)
+            self.server.enqueue(host, frame)
         elif isinstance(frame, GrantDropped):
             self.server.drop(host, frame)
         else:
-            self._hear(frame)
+            self._on_reply(frame)
 
     def _answer(self, host: str, frame: GrantFrame) -> None:
         if host == self._host:
-            self._hear(frame)
+            self._on_reply(frame)
         else:
             self._send(host, frame)
 
-    def _hear(self, frame: GrantFrame) -> None:
-        question = self._questions.get(frame.number)
-        if question is not None:
-            question.hear(frame)
+    def _on_reply(self, frame: GrantFrame) -> None:
+        call = self._calls.get(frame.number)
+        if call is not None:
+            call.on_reply(frame)
 
-    async def ask(
-        self, ask: RelayAsk, service: str, avoid: frozenset[str], caller: CallerEnd
-    ) -> Granted | Failure | None:
+    async def request_grant(
+        self, req: RelayRequest, service: str, avoid: frozenset[str], caller: CallerConnection
+    ) -> GrantedEndpoint | Failure | None:
         """Return the endpoint to send a prompt to, or None where this host is to choose itself."""
         hub = self._find_hub()
-        if hub != self._host and self._ctx.clock.monotonic() < self._rests_until:
+        if hub != self._host and self._ctx.clock.monotonic() < self._backoff_until:
             return None
-        self._number += 1
-        question = Question(hub, self._number)
-        self._questions[question.number] = question
+        self._last_number += 1
+        call = GrantCall(hub, self._last_number)
+        self._calls[call.number] = call
         try:
-            frame = write_wanted(question.number, ask, service, avoid, self._ctx.clock.monotonic())
+            frame = write_wanted(call.number, req, service, avoid, self._ctx.clock.monotonic())
             if not self._deliver(hub, frame):
                 return None
-            word = await self._wait_for_word(question, ask, caller)
+            reply = await self._wait_for_decision(call, req, caller)
         finally:
-            del self._questions[question.number]
-        if word is None or caller.gone():
-            self._deliver(hub, GrantDropped("grant_dropped", question.number))
-        if caller.gone():
+            del self._calls[call.number]
+        if reply is None or caller.is_disconnected():
+            self._deliver(hub, GrantDropped("grant_dropped", call.number))
+        if caller.is_disconnected():
             return lose(State.ADMITTED, Loss.CALLER_GONE)
-        if word is None:
+        if reply is None:
             return None
-        return Granted(word.endpoint, word.ahead / 1000) if word.endpoint else self._deny(word.wait)
+        return (
+            GrantedEndpoint(reply.endpoint, reply.ahead / 1000)
+            if reply.endpoint
+            else self._deny(reply.wait)
+        )
 
     def _deliver(self, hub: str, frame: GrantWanted | GrantDropped) -> bool:
         """Pass a frame to the hub, which may be this host; false where there is no way to it."""
         if hub != self._host:
             return self._send(hub, frame)
-        self.take(hub, frame)
+        self.on_frame(hub, frame)
         return True
 
-    async def _wait_for_word(
-        self, question: Question, ask: RelayAsk, caller: CallerEnd
+    async def _wait_for_decision(
+        self, call: GrantCall, req: RelayRequest, caller: CallerConnection
     ) -> GrantFrame | None:
         """Return the hub's decision; None when it is silent, or gone while the prompt is queued."""
-        word = await question.next_word(caller, WORD_SECONDS + WORD_TURNS * self._turns.usual())
-        if word is None:
-            if not caller.gone():
-                self._note_silence(question.hub)
+        reply = await call.next_reply(
+            caller, GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._turns.usual()
+        )
+        if reply is None:
+            if not caller.is_disconnected():
+                self._note_silence(call.hub)
             return None
-        self._rest = REST_SECONDS
-        while not is_decided(word):
-            left = ask.first_by - self._ctx.clock.monotonic()
-            if left <= 0 or caller.gone() or question.hub != self._find_hub():
+        self._backoff = MIN_HUB_BACKOFF_SECONDS
+        while not is_decided(reply):
+            remaining = req.first_event_deadline - self._ctx.clock.monotonic()
+            if remaining <= 0 or caller.is_disconnected() or call.hub != self._find_hub():
                 return None
-            word = await question.next_word(caller, min(left, LOOK_SECONDS)) or word
-        return word
+            reply = await call.next_reply(caller, min(remaining, HUB_CHECK_SECONDS)) or reply
+        return reply
 
     def _deny(self, wait: int) -> Failure:
         """Turn a prompt away, with the time after which those before it have been read."""
-        spread = 1 + RETRY_SPREAD * (self._ctx.rng.random() - 0.5)
-        seconds = min(LONGEST_RETRY, max(SHORTEST_RETRY, wait / 1000 * spread))
+        spread = 1 + RETRY_JITTER_SHARE * (self._ctx.rng.random() - 0.5)
+        seconds = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait / 1000 * spread))
         return Failure(Kind.OVERLOADED, f"a wait of {wait / 1000:.2f} s at all engines", seconds)
 
     def _note_silence(self, hub: str) -> None:
         """Leave a silent hub alone for a while: each prompt would wait for its word in vain."""
-        self._rests_until = self._ctx.clock.monotonic() + self._rest
-        self._ctx.timeline.add("hub_silent", "WARNING", detail=f"{hub}, for {self._rest:.2f} s")
-        self._rest = min(LONGEST_REST, 2 * self._rest)
+        self._backoff_until = self._ctx.clock.monotonic() + self._backoff
+        self._ctx.timeline.add("hub_silent", "WARNING", detail=f"{hub}, for {self._backoff:.2f} s")
+        self._backoff = min(MAX_HUB_BACKOFF_SECONDS, 2 * self._backoff)
 
 
-def is_decided(word: GrantFrame) -> bool:
+def is_decided(reply: GrantFrame) -> bool:
     """Tell whether a prompt is granted or denied, and not queued."""
-    return bool(word.endpoint) or word.wait > 0
+    return bool(reply.endpoint) or reply.wait > 0
 
 
 def write_wanted(
-    number: int, ask: RelayAsk, service: str, avoid: frozenset[str], now: float
+    number: int, req: RelayRequest, service: str, avoid: frozenset[str], now: float
 ) -> GrantWanted:
     """Return the frame that asks for a prompt."""
-    wish = ask.head.wish
+    inference = req.head.inference
     return GrantWanted(
         "grant_wanted",
         number,
         service,
-        wish.model,
-        wish.adapter,
-        wish.prompt_tokens,
-        [part.id for part in wish.parts],
-        [part.tokens for part in wish.parts],
-        ask.rank,
-        int(1000 * (ask.began + ask.route.target - now)),
-        int(1000 * (ask.first_by - now)),
+        inference.model,
+        inference.adapter,
+        inference.prompt_tokens,
+        [part.id for part in inference.parts],
+        [part.tokens for part in inference.parts],
+        req.rank,
+        int(1000 * (req.received_at + req.route.target - now)),
+        int(1000 * (req.first_event_deadline - now)),
         sorted(avoid),
     )
 
 
-def read_wish(frame: GrantWanted) -> ModelWish:
+def read_inference(frame: GrantWanted) -> InferenceSpec:
     """Return what a frame asks for."""
     rows = zip(frame.parts, frame.part_tokens, strict=True)
     parts = tuple(PromptPart(name, tokens) for name, tokens in rows)
-    return ModelWish(frame.model, frame.adapter, frame.tokens, 0, parts)
+    return InferenceSpec(frame.model, frame.adapter, frame.tokens, 0, parts)
 
 
 def shortest_pauses(deployment: Deployment) -> dict[str, float]:
--- a/peridotdock/relay/identity.py
+++ b/peridotdock/relay/identity.py
@@ -4,11 +4,11 @@
 
 from peridotdock.deployment import Deployment, Route
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import Identity, RequestHead
+from peridotdock.relay.requests import Identity, RequestHead
 from peridotdock.relay.settings import Bounds
 
 # Seconds until a caller may come back to a host whose configuration is old.
-OLD_RETRY_SECONDS = 0.5
+STALE_CONFIG_RETRY_SECONDS = 0.5
 
 
 class Identifier:
@@ -32,16 +32,20 @@
         """
         workspaces = deployment.workspaces
         if not workspaces:
-            return Identity(headers=head.own_identity)
+            return Identity(headers=head.identity_headers)
         found = workspaces.find(head.key)
         if found is None and route.public:
             return Identity()
         age = self._config_age()
         if found is None:
-            return self._too_old() if age > self._bounds.config else Failure(Kind.UNKNOWN_CALLER)
+            return (
+                self._refuse_stale_config()
+                if age > self._bounds.config
+                else Failure(Kind.UNKNOWN_CALLER)
+            )
         if self._bounds.revoke_strict and age > self._bounds.revoke:
-            return self._too_old()
+            return self._refuse_stale_config()
         return Identity(found)
 
-    def _too_old(self) -> Failure:
-        return Failure(Kind.NOT_READY, "the configuration is old", OLD_RETRY_SECONDS)
+    def _refuse_stale_config(self) -> Failure:
+        return Failure(Kind.NOT_READY, "the configuration is old", STALE_CONFIG_RETRY_SECONDS)
--- a/peridotdock/relay/lag.py
+++ b/peridotdock/relay/lag.py
@@ -11,12 +11,12 @@
 from peridotdock.turns import Turns
 
 # Seconds between two looks, and between two log lines while a host stays behind.
-LOOK_SECONDS = 1.0
+CHECK_SECONDS = 1.0
 # The same while the host is behind or takes nothing new, so that callers have it back soon after
 # its calm shows.
-TROUBLE_LOOK_SECONDS = 0.2
-LINE_SECONDS = 5.0
-DESCRIPTORS = "/proc/self/fd"
+OVERLOADED_CHECK_SECONDS = 0.2
+LOG_INTERVAL_SECONDS = 5.0
+DESCRIPTORS_PATH = "/proc/self/fd"
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,12 +24,12 @@
     """Open descriptors and the most that the process may have."""
 
     open: int
-    most: int
+    limit: int
 
     @property
     def free(self) -> int:
         """Return how many more can be opened."""
-        return self.most - self.open
+        return self.limit - self.open
 
 
 class CountDescriptors(Protocol):
@@ -42,13 +42,13 @@
 def count_descriptors() -> DescriptorCount | None:
     """Count the process's descriptors."""
     try:
-        used = len(os.listdir(DESCRIPTORS))
+        used = len(os.listdir(DESCRIPTORS_PATH))
     except OSError:
         return None
     return DescriptorCount(used, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-class LagWatch:
+class HostMonitor:
     """Looks at the loop each second, for the metrics and the log."""
 
     def __init__(
@@ -61,39 +61,39 @@
         self._ctx = ctx
         self._turns = turns
         turns.long = BEHIND_SECONDS
-        self._in_work = in_work
+        self._in_progress = in_work
         self.count = descriptors
         self._accepted = 0
-        self._looked_at = ctx.clock.monotonic()
-        self._line_at = float("-inf")
+        self._checked_at = ctx.clock.monotonic()
+        self._logged_at = float("-inf")
         self._behind_since: float | None = None
         self.trouble: Trouble | None = None
         self.on_change: Callable[[], None] = lambda: None
         self.descriptors: DescriptorCount | None = None
         ctx.metrics.loop_lag.set_function(turns.lag)
 
-    def look_seconds(self) -> float:
+    def check_interval(self) -> float:
         """Return the seconds until the next look."""
         calm = self.trouble is None and self._behind_since is None
-        return LOOK_SECONDS if calm else TROUBLE_LOOK_SECONDS
+        return CHECK_SECONDS if calm else OVERLOADED_CHECK_SECONDS
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Take the figures of the last second, and log them while the host is behind."""
         now = self._ctx.clock.monotonic()
         lag = self._turns.lag()
         self.descriptors = self.count()
         if self.descriptors is not None:
             self._ctx.metrics.descriptors.labels("open").set(self.descriptors.open)
-            self._ctx.metrics.descriptors.labels("most").set(self.descriptors.most)
+            self._ctx.metrics.descriptors.labels("most").set(self.descriptors.limit)
         accepted = self._turns.accepted - self._accepted
         self._accepted = self._turns.accepted
         self._ctx.metrics.accepted.inc(accepted)
-        seconds = max(now - self._looked_at, 0.001)
-        self._looked_at = now
-        self._judge(now, lag)
-        self._tell(now, lag, accepted / seconds)
+        seconds = max(now - self._checked_at, 0.001)
+        self._checked_at = now
+        self._update_overload(now, lag)
+        self._log_overload(now, lag, accepted / seconds)
 
-    def _judge(self, now: float, lag: float) -> None:
+    def _update_overload(self, now: float, lag: float) -> None:
         """Tell whether this host can take anything new; ``trouble`` says why not."""
         was_behind = self._behind_since is not None
         if lag < BEHIND_SECONDS:
@@ -104,24 +104,24 @@
         free = None if self.descriptors is None else self.descriptors.free
         trouble = judge_host(HostState(lag, behind_for, free))
         if trouble is not self.trouble:
-            word = "host_ready" if trouble is None else "host_unready"
-            self._ctx.timeline.add(word, "WARNING", detail=trouble or "")
+            event = "host_ready" if trouble is None else "host_unready"
+            self._ctx.timeline.add(event, "WARNING", detail=trouble or "")
             self.trouble = trouble
             self.on_change()
         if was_behind and self._behind_since is None:
             self._ctx.timeline.add("loop_caught_up", detail=f"a timer was {lag:.3f} s late")
 
-    def _tell(self, now: float, lag: float, accepted: float) -> None:
+    def _log_overload(self, now: float, lag: float, accepted: float) -> None:
         """Log the state of a host that is behind or can take nothing new."""
         calm = lag < BEHIND_SECONDS and self.trouble is None
-        if calm or now - self._line_at < LINE_SECONDS:
+        if calm or now - self._logged_at < LOG_INTERVAL_SECONDS:
             return
-        self._line_at = now
+        self._logged_at = now
         self._ctx.timeline.add(
             "loop_behind",
             "WARNING",
             detail=f"a timer was {lag:.3f} s late, {accepted:.0f} connections a second, "
-            f"{self._in_work()} requests in work, {describe(self.descriptors)}",
+            f"{self._in_progress()} requests in work, {describe(self.descriptors)}",
         )
 
 
@@ -129,4 +129,4 @@
     """Return the state of descriptors for a log line."""
     if count is None:
         return "descriptors unknown"
-    return f"{count.open} of {count.most} descriptors"
+    return f"{count.open} of {count.limit} descriptors"
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/node.py
@@ -13,18 +13,18 @@
 from peridotdock.errors import failed
 from peridotdock.jobs import Jobs
 from peridotdock.keeping import KEEP_SECONDS, BlocklistKeeper
-from peridotdock.relay.absent import WaitingRoom
+from peridotdock.relay.item_waits import ItemWaits
 from peridotdock.relay.adapter import Adapter
 from peridotdock.relay.choosing import Chooser
 from peridotdock.relay.clocks import BootClock
-from peridotdock.relay.doors import ADDRESS_SECONDS, Doors
+from peridotdock.relay.port_router import ADDRESS_SECONDS, PortRouter
 from peridotdock.relay.entries import EntryReader
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.following import Follower
-from peridotdock.relay.front import Front
+from peridotdock.relay.request_handler import RequestHandler
 from peridotdock.relay.grants import Grants
 from peridotdock.relay.identity import Identifier
-from peridotdock.relay.lag import LagWatch
+from peridotdock.relay.lag import HostMonitor
 from peridotdock.relay.leadership import Handover, Leadership
 from peridotdock.relay.ordering import Orderer
 from peridotdock.relay.peers import Peers
@@ -33,7 +33,7 @@
 from peridotdock.relay.service import RelayService
 from peridotdock.relay.settings import HostSettings
 from peridotdock.relay.views import Views
-from peridotdock.relay.waits import Waits
+from peridotdock.relay.waits import EndpointWaits
 from peridotdock.relay.words import EndpointWords
 from peridotdock.serving import Server, make_application
 from peridotdock.turns import find_turns
@@ -95,7 +95,7 @@
         self.endpoints = HttpEndpoints(not_run_header=None)
         self.fleet = RelayFleet(settings.domain, ctx.clock)
         self.peers = Peers(ctx, settings, self.fleet, lambda digest: b"")
-        self.room = WaitingRoom(ctx, self.fleet, self.peers)
+        self.room = ItemWaits(ctx, self.fleet, self.peers)
         mesh = self.peers.mesh
         self.grants = Grants(
             ctx,
@@ -106,16 +106,16 @@
             find_turns(),
             self.peers.membership.find_domain,
         )
-        mesh.on_grant = self.grants.take
+        mesh.on_grant = self.grants.on_frame
         self.permits = EndpointPermits(ctx, settings.host, self.peers, self.fleet, find_turns())
         self.words = EndpointWords(ctx, settings.host, self.peers, self.fleet)
-        mesh.on_permit = self.permits.take
-        self.grants.server.find_permit = self.permits.waits
+        mesh.on_permit = self.permits.on_frame
+        self.grants.server.permit_waits = self.permits.wait_and_gap
         self.grants.server.spend_permit = self.permits.spend
         self.peers.queued = self.grants.server.queued
         self.blocklist = Blocklist(ctx, self.peers.board, self.fleet.has_ended, self.peers.is_hub)
-        waits = Waits(ctx, self.fleet, self.room, self.permits)
-        waits.is_leaving = lambda: self.leaving
+        waits = EndpointWaits(ctx, self.fleet, self.room, self.permits)
+        waits.is_draining = lambda: self.leaving
         chooser = Chooser(ctx, self.fleet, waits, self.grants, self.permits)
         self.service = RelayService(
             ctx,
@@ -129,13 +129,13 @@
         )
         self.service.sender.on_answer = self.words.note_answer
         self.service.on_gap = self.grants.server.note_gap
-        self.service.on_down = lambda key: self.peers.tell_wants()
-        self.lag = LagWatch(ctx, find_turns(), lambda: self.front.in_work)
+        self.service.on_unreachable = lambda key: self.peers.tell_wants()
+        self.lag = HostMonitor(ctx, find_turns(), lambda: self.front.in_progress)
         self.lag.on_change = self._tell_state
         self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_turns())
-        mesh.on_quota = self.quotas.take
+        mesh.on_quota = self.quotas.on_frame
         identifier = Identifier(settings.bounds, self._config_age)
-        self.front = Front(
+        self.front = RequestHandler(
             ctx, adapter.wire, self.service, self.peers, self.lag, identifier, self.quotas
         )
         lease = settings.bounds.order_lease
@@ -149,7 +149,7 @@
         engines = adapter.open_engines(self.endpoints)
         self.orderer = Orderer(ctx, self.fleet, engines, self.leadership, settings.bounds)
         self.orderer.heard_loads = self.peers.heard_loads
-        self.orderer.ask_permit = self.permits.ask_for
+        self.orderer.ask_permit = self.permits.request_by_key
         self.jobs = Jobs(ctx)
         self.lease_due = asyncio.Event()
         self.peers.on_resigned = self._hear_resigned
@@ -168,8 +168,8 @@
         )
         self._failed_plans = 0
         listen = settings.listen
-        doors = Doors(ctx, adapter, self.front, self.peers.membership, self._ready)
-        doors.open(listen, settings.metrics.port if settings.metrics is not None else None)
+        doors = PortRouter(ctx, adapter, self.front, self.peers.membership, self._ready)
+        doors.set_ports(listen, settings.metrics.port if settings.metrics is not None else None)
         app = make_application()
         app.router.fallback = doors.handle
         addresses = [listen.readiness, listen.directory]
@@ -189,7 +189,7 @@
         every(lambda: self._word_seconds(WORK_SECONDS), self._tell_work, "work")
         every(lambda: self._word_seconds(RUNS_SECONDS, SELDOM), self._tell_runs, "runs")
         every(lambda: self._word_seconds(DEMAND_SECONDS, SELDOM), self._tell_demand, "demand")
-        every(self.lag.look_seconds, self.lag.look, "lag")
+        every(self.lag.check_interval, self.lag.check, "lag")
         every(lambda: KEEP_SECONDS, self.keeper.step, "block list", self.keep_due)
         every(self._lease_seconds, self._step_lease, "lease", self.lease_due)
         self._tasks.append(asyncio.create_task(self._order()))
@@ -204,7 +204,7 @@
             self.views.follow(
                 adapter.config_table, self._take_config, bounds.config, pause=CONFIG_PAUSE
             ),
-            self.views.follow(adapter.endpoint_table, self._take_endpoints, bounds.leaving),
+            self.views.follow(adapter.endpoint_table, self._take_endpoints, bounds.drain),
         ]
 
     # Work that is repeated
@@ -225,9 +225,9 @@
         self.peers.tell_work()
         self.peers.tell_wants()
         self.peers.tell_loads()
-        self.quotas.tell()
+        self.quotas.publish()
         self.words.tell()
-        self.permits.look()
+        self.permits.refresh()
         self.blocklist.tell()
         self.views.keep_telling()
 
@@ -415,7 +415,7 @@
         await self.leadership.give_up()
         await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_FACTOR, bounds.stopping / 2))
         until = began + bounds.stopping - STOP_MARGIN
-        while self.front.in_work and clock.monotonic() < until:
+        while self.front.in_progress and clock.monotonic() < until:
             await clock.sleep(DRAIN_POLL_SECONDS)
         self.peers.membership.become("gone")
-        self.ctx.timeline.add("stopped", detail=f"{self.front.in_work} requests left")
+        self.ctx.timeline.add("stopped", detail=f"{self.front.in_progress} requests left")
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -19,7 +19,7 @@
 from peridotdock.decisions.placing import make_plan
 from peridotdock.deployment import Deployment, EngineSpec, Service
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.late import LateOrders
 from peridotdock.relay.leadership import Leadership
@@ -158,17 +158,20 @@
         self.records = {key: record for key, record in self.records.items() if key in states}
         for key, state in states.items():
             record = self.records.get(key)
-            if record is None or state.entry.born not in (record.born, record.entry.born):
+            if record is None or state.entry.started_ms not in (
+                record.born,
+                record.entry.started_ms,
+            ):
                 record = self._begin(state.entry)
             record.take_entry(state.entry)
 
     def _begin(self, entry: EndpointEntry, born: int = 0) -> EngineRecord:
         """Begin anew with an engine: it is new, or has started again under its id."""
-        record = self.records[entry.incarnation] = EngineRecord(entry, born)
-        state = self._fleet.states.get(entry.incarnation)
+        record = self.records[entry.endpoint_id] = EngineRecord(entry, born)
+        state = self._fleet.states.get(entry.endpoint_id)
         if state is not None and state.heard is not None:
             record.recall(state.heard.news, state.heard.at, self._ctx.clock.monotonic())
-        self._promises.pop(entry.incarnation, None)
+        self._promises.pop(entry.endpoint_id, None)
         return record
 
     def _plan(
@@ -196,16 +199,16 @@
             record.pressure.look(self._ahead(record, now), now)
         views = [
             record.view(
-                now, self.late_items(record), running.get(record.entry.incarnation, NOTHING_RUNS)
+                now, self.late_items(record), running.get(record.entry.endpoint_id, NOTHING_RUNS)
             )
             for record in records
         ]
         held_back = {
-            record.entry.incarnation
+            record.entry.endpoint_id
             for record in records
             if record.in_flight
             or record.unsure
-            or not self._leadership.may_order(record.entry.incarnation)
+            or not self._leadership.may_order(record.entry.endpoint_id)
             or (now < record.quiet_until and not record.freeing and not record.loading)
         }
         ration = self._ration(service)
@@ -224,8 +227,8 @@
 
     def _leaves(self, record: EngineRecord) -> bool:
         """Tell whether an engine leaves: nothing is loaded there, and its copies don't count."""
-        state = self._fleet.states.get(record.entry.incarnation)
-        return record.entry.leaving or (state is not None and state.leaving)
+        state = self._fleet.states.get(record.entry.endpoint_id)
+        return record.entry.draining or (state is not None and state.leaving)
 
     def _settled(self, demand: Mapping[str, Demand], now: float) -> bool:
         """Tell whether demand has been known for long enough to place by it alone."""
@@ -251,7 +254,7 @@
         return {key: promise.model for key, promise in self._promises.items()}
 
     def _ahead(self, record: EngineRecord, now: float) -> float:
-        state = self._fleet.states.get(record.entry.incarnation)
+        state = self._fleet.states.get(record.entry.endpoint_id)
         return float(state.load(now)[1]) if state else 0.0
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -281,7 +284,7 @@
 
     async def _permitted(self, record: EngineRecord) -> bool:
         """Tell whether an engine may be called now; one that has named a limit rests until then."""
-        permit = await self.ask_permit(record.entry.incarnation)
+        permit = await self.ask_permit(record.entry.endpoint_id)
         if not permit.given:
             record.quiet_until = self._ctx.clock.monotonic() + permit.wait
         return permit.given
@@ -290,14 +293,14 @@
         """Count and log that an engine was asked for a report."""
         word = f"{report.kind}: {report.reason}" if failed(report) else f"seq {report.seq}"
         self._ctx.metrics.reports.labels("failed" if failed(report) else "read").inc()
-        self._ctx.timeline.add("report_read", endpoint=record.entry.incarnation, detail=word)
+        self._ctx.timeline.add("report_read", endpoint=record.entry.endpoint_id, detail=word)
 
     def _started_again(self, record: EngineRecord, report: EngineState) -> EngineRecord:
         """Return the record that a report is of: a new one where the engine has started again.
 
         An engine that can't reach the store shows a new start in its report alone.
         """
-        key = record.entry.incarnation
+        key = record.entry.endpoint_id
         if not 0 < record.born < report.born or self.records.get(key) is not record:
             return record
         return self._begin(record.entry, report.born)
@@ -316,7 +319,7 @@
         if loads and model and seconds >= model.load:
             self._ration(service).begin(begun)
         try:
-            engine = record.entry.incarnation
+            engine = record.entry.endpoint_id
             if not await self._permitted(record) or not self._leadership.may_order(engine):
                 self._ration(service).take_back(begun)
                 return
@@ -333,7 +336,7 @@
 
     async def _give(self, record: EngineRecord, order: EngineOrder) -> OrderAnswer | Failure:
         """Send an order; one without an answer may reach a later start of the engine."""
-        key = record.entry.incarnation
+        key = record.entry.endpoint_id
         self._late.sent(key, record.born, order, self._ctx.clock.monotonic())
         outcome = await self._engines.order(record.entry, order)
         if not failed(outcome) or outcome.kind is Kind.ENDPOINT_UNREACHABLE:
@@ -343,7 +346,7 @@
     def late_items(self, record: EngineRecord) -> frozenset[str]:
         """Return what an engine may load yet by orders that were sent to a start before."""
         now = self._ctx.clock.monotonic()
-        return self._late.items(record.entry.incarnation, record.born, record.seq, now)
+        return self._late.items(record.entry.endpoint_id, record.born, record.seq, now)
 
     async def _settle(
         self,
@@ -394,7 +397,7 @@
         item = f"{order.model}/{order.adapter}" if order.adapter else order.model
         self._ctx.timeline.add(
             "order_given",
-            endpoint=record.entry.incarnation,
+            endpoint=record.entry.endpoint_id,
             item=item,
             detail=f"{order.action} {step.reason}, {step.running} running, "
             f"expected {order.expected}: {word}",
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -76,7 +76,7 @@
             str(settings.listen.peers),
             "starting",
             0,
-            int(settings.strong),
+            int(settings.can_be_hub),
         )
         reach = Reach(self.board, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_heard)
         self.membership = Membership(self.board, own, ctx.clock, reach)
--- a/peridotdock/relay/doors.py
+++ b/peridotdock/relay/port_router.py
@@ -8,7 +8,7 @@
 from peridotdock.context import Context
 from peridotdock.membership import Membership
 from peridotdock.relay.adapter import Adapter
-from peridotdock.relay.front import Front
+from peridotdock.relay.request_handler import RequestHandler
 from peridotdock.relay.settings import Listen
 from peridotdock.serving import Handler
 
@@ -16,14 +16,14 @@
 ADDRESS_SECONDS = 1.0
 
 
-class Doors:
+class PortRouter:
     """Takes each request to what listens at its port."""
 
     def __init__(
         self,
         ctx: Context,
         adapter: Adapter,
-        front: Front,
+        front: RequestHandler,
         membership: Membership,
         is_ready: Callable[[], bool],
     ):
@@ -34,7 +34,7 @@
         self._is_ready = is_ready
         self._handlers: dict[int, Handler] = {}
 
-    def open(self, listen: Listen, metrics_port: int | None) -> None:
+    def set_ports(self, listen: Listen, metrics_port: int | None) -> None:
         """Take requests at these ports from now on."""
         self._handlers = {
             listen.callers.port: self._front.handle,
@@ -54,7 +54,7 @@
         return Response(200 if ready else 503, None, body)
 
     async def _metrics(self, request: Request) -> Response:
-        self._ctx.metrics.in_work.set(self._front.in_work)
+        self._ctx.metrics.in_work.set(self._front.in_progress)
         return Response(200, None, Content(b"text/plain", self._ctx.metrics.render()))
 
     async def _directory(self, request: Request) -> Response:
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -10,10 +10,10 @@
 from peridotdock.decisions.quotas import HostQuotas, HubQuotas, Usage
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import RelayAsk
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.requests import RelayRequest
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.peers import Peers
-from peridotdock.relay.questions import Questions
+from peridotdock.relay.hub_calls import HubCalls
 from peridotdock.relay.settings import Bounds
 from peridotdock.requests import Loss, State, lose
 from peridotdock.schema.messages import QuotaGiven, QuotasFact, QuotaWanted, UsageFact
@@ -22,11 +22,11 @@
 
 # Seconds after which the hub says again which quotas are low although that has not changed: by its
 # last word hosts know what it has charged.
-LOW_SECONDS = 0.5
+LOW_REPUBLISH_SECONDS = 0.5
 # Spread of the time until callers come back, so that those of one moment do not do so together.
-RETRY_SPREAD = 0.5
+RETRY_JITTER_SHARE = 0.5
 # Least time, in seconds, between two log lines on a hub that gives no word.
-SILENCE_LINE_SECONDS = 1.0
+SILENCE_LOG_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,9 @@
         self._own = HostQuotas(bounds.quota)
         self._hub: HubQuotas | None = None
         self._quotas: Mapping[str, Quota] = {}
-        self._questions: Questions[int] = Questions(turns)
-        self._silent = 0
-        self._silence_line_at = float("-inf")
+        self._hub_calls: HubCalls[int] = HubCalls(turns)
+        self._silent_count = 0
+        self._silence_logged_at = float("-inf")
 
     def take_deployment(self, deployment: Deployment) -> None:
         """Take in what the operators allow each workspace."""
@@ -59,60 +59,62 @@
 
     # A host's part
 
-    async def admit(self, ask: RelayAsk, caller: CallerEnd) -> Failure | None:
+    async def admit(self, req: RelayRequest, caller: CallerConnection) -> Failure | None:
         """Let a request pass, or turn it away with the time after which it may come back."""
-        charge = self._find_charge(ask)
+        charge = self._find_charge(req)
         if charge is None:
             return None
         wait = await self._wait_for(charge, caller)
-        if wait == 0 and caller.gone():
+        if wait == 0 and caller.is_disconnected():
             self._own.count(charge.name, -charge.cost)
-        if caller.gone():
+        if caller.is_disconnected():
             return lose(State.ADMITTED, Loss.CALLER_GONE)
         if wait == 0:
             return None
-        spread = 1 + RETRY_SPREAD * (self._ctx.rng.random() - 0.5)
+        spread = 1 + RETRY_JITTER_SHARE * (self._ctx.rng.random() - 0.5)
         return Failure(Kind.CALLER_LIMIT, f"workspace {charge.name}", wait * spread)
 
-    def give_back(self, ask: RelayAsk) -> None:
+    def refund(self, req: RelayRequest) -> None:
         """Count a request that was let pass and did not run as not served."""
-        charge = self._find_charge(ask)
+        charge = self._find_charge(req)
         if charge is not None:
             self._own.count(charge.name, -charge.cost)
 
-    def _find_charge(self, ask: RelayAsk) -> Charge | None:
+    def _find_charge(self, req: RelayRequest) -> Charge | None:
         """Return what a request takes of which quota; None where nothing limits it."""
-        workspace = ask.identity.workspace
+        workspace = req.identity.workspace
         quota = self._quotas.get(workspace.name) if workspace is not None else None
         if quota is None:
             return None
-        return Charge(workspace.name, quota, quota.cost(ask.head.tokens))
+        return Charge(workspace.name, quota, quota.cost(req.head.tokens))
 
-    async def _wait_for(self, charge: Charge, caller: CallerEnd) -> float:
+    async def _wait_for(self, charge: Charge, caller: CallerConnection) -> float:
         """Return 0 for a request that may pass, else the seconds until it may come back."""
         name, quota, cost = charge.name, charge.quota, charge.cost
-        hub = self._hear_hub()
+        hub = self._read_hub_quotas()
         if not self._own.must_ask(name):
             self._own.count(name, cost)
             return 0.0
         now = self._ctx.clock.monotonic()
         if hub == self._host:
             return self._as_hub().take(name, quota, cost, self._share(), now)
-        wait = await self._ask(hub, name, cost, caller)
+        wait = await self._call_hub(hub, name, cost, caller)
         if wait is not None:
             return wait
-        if not caller.gone():
+        if not caller.is_disconnected():
             self._note_silence(hub, name)
         return self._own.take_alone(name, quota, cost, len(self._peers.known_hosts()), now)
 
-    def _hear_hub(self) -> str:
+    def _read_hub_quotas(self) -> str:
         """Take in the hub's last word, and return which host it is."""
         hub = self._peers.hub()
-        word = self._peers.board.get(hub, "quotas")
-        self._own.hear(word.fact.low if word is not None else None)
+        update = self._peers.board.get(hub, "quotas")
+        self._own.hear(update.fact.low if update is not None else None)
         return hub
 
-    async def _ask(self, hub: str, name: str, cost: float, caller: CallerEnd) -> float | None:
+    async def _call_hub(
+        self, hub: str, name: str, cost: float, caller: CallerConnection
+    ) -> float | None:
         """Return the hub's word on a request, None where it gives none in time."""
 
         def send(number: int) -> bool:
@@ -120,25 +122,27 @@
                 hub, QuotaWanted("quota_wanted", number, name, round(cost))
             )
 
-        wait = await self._questions.ask(send, caller)
+        wait = await self._hub_calls.call(send, caller)
         return None if wait is None else wait / 1000
 
     def _note_silence(self, hub: str, name: str) -> None:
         """Log, once in a while, that requests were judged without the hub's word."""
-        self._silent += 1
+        self._silent_count += 1
         now = self._ctx.clock.monotonic()
-        if now - self._silence_line_at < SILENCE_LINE_SECONDS:
+        if now - self._silence_logged_at < SILENCE_LOG_INTERVAL_SECONDS:
             return
-        detail = f"{hub}, on {self._silent} requests of low quotas, the last of workspace {name}"
+        detail = (
+            f"{hub}, on {self._silent_count} requests of low quotas, the last of workspace {name}"
+        )
         self._ctx.timeline.add("hub_silent", "WARNING", detail=detail)
-        self._silent, self._silence_line_at = 0, now
+        self._silent_count, self._silence_logged_at = 0, now
 
     # What hosts tell each other
 
-    def take(self, host: str, frame: QuotaWanted | QuotaGiven) -> None:
+    def on_frame(self, host: str, frame: QuotaWanted | QuotaGiven) -> None:
         """Take a frame of another host."""
         if isinstance(frame, QuotaGiven):
-            self._questions.hear(frame.number, frame.wait)
+            self._hub_calls.on_reply(frame.number, frame.wait)
         elif self._peers.is_hub():
             self._answer(host, frame)
 
@@ -149,11 +153,11 @@
             wait = self._as_hub().take(frame.workspace, quota, frame.cost, self._share(), now)
         self._peers.mesh.send_to(host, QuotaGiven("quota_given", frame.number, round(1000 * wait)))
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell the hub what was served without its word; as the hub, tell which quotas are low."""
         if not self._quotas:
             return
-        self._hear_hub()
+        self._read_hub_quotas()
         usage = self._own.usage(self._quotas)
         if usage is not None:
             self._peers.board.publish("usage", UsageFact(usage.totals, usage.since))
@@ -169,13 +173,13 @@
             row = Usage(known.fact.totals, known.fact.since)
             age = now - known.at
             hub.note_usage(origin, known.entry.epoch, row, self._quotas, share, now, age)
-        self._tell_low(hub.low(self._quotas, share, now))
+        self._publish_low(hub.low(self._quotas, share, now))
 
     def _as_hub(self) -> HubQuotas:
         """Return the buckets of all hosts, as this host keeps them while it is the hub."""
         if self._hub is None:
-            words = self._peers.board.on("quotas").values()
-            last = max(words, key=lambda known: known.at, default=None)
+            updates = self._peers.board.on("quotas").values()
+            last = max(updates, key=lambda known: known.at, default=None)
             self._hub = HubQuotas(self._tolerance)
             low = last.fact.low if last is not None else None
             self._hub.start(
@@ -188,10 +192,10 @@
             self._peers.board.publish("quotas", QuotasFact(low or {}))
         return self._hub
 
-    def _tell_low(self, low: Mapping[str, int]) -> None:
+    def _publish_low(self, low: Mapping[str, int]) -> None:
         known = self._peers.board.get(self._host, "quotas")
         now = self._ctx.clock.monotonic()
-        if known is None or known.fact.low != low or now - known.at >= LOW_SECONDS:
+        if known is None or known.fact.low != low or now - known.at >= LOW_REPUBLISH_SECONDS:
             self._peers.board.publish("quotas", QuotasFact(dict(low)))
         before = known.fact.low if known is not None else {}
         for name in low.keys() - before.keys():
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -8,7 +8,7 @@
 from peridotdock.clients.engines import Action, EngineOrder, EngineState
 from peridotdock.decisions.draft import EngineView
 from peridotdock.deployment import EngineSpec
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import load_seconds
 from peridotdock.schema.messages import EngineNews
 
@@ -61,7 +61,7 @@
     quiet_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.born = self.born or self.entry.born
+        self.born = self.born or self.entry.started_ms
 
     def recall(self, news: EngineNews, at: float, now: float) -> None:
         """Take in what the holder before said of its orders, at a time, as far as it may go on.
@@ -85,7 +85,7 @@
         if entry is self.entry:
             return
         self.entry = entry
-        if entry.born != self.born:
+        if entry.started_ms != self.born:
             return
         for name in [name for name in self.loading if name in entry.models]:
             del self.loading[name]
@@ -164,7 +164,7 @@
         models = {name: frozenset(adapters) for name, adapters in self.models.items()}
         models |= {name: frozenset() for name in self.loading if name not in models}
         return EngineView(
-            key=self.entry.incarnation,
+            key=self.entry.endpoint_id,
             domain=self.entry.domain,
             models=models,
             loading=frozenset(self.loading),
@@ -189,7 +189,7 @@
         """
         if self.unknown:
             return False
-        if self.loading or self.dropping or self.freeing or self.entry.born != self.born:
+        if self.loading or self.dropping or self.freeing or self.entry.started_ms != self.born:
             return True
         told = {name: set(model.adapters) for name, model in self.entry.models.items()}
         return told != self.models and now - self.ordered_at <= NEWS_SECONDS
@@ -199,7 +199,7 @@
         items = [name for name in self.models if name not in self.loading]
         items += [f"{name}/{a}" for name, adapters in self.models.items() for a in adapters]
         return EngineNews(
-            endpoint=self.entry.incarnation,
+            endpoint=self.entry.endpoint_id,
             items=[item for item in items if item not in self.freeing],
             dropping=sorted(self.dropping),
             coming={name: round(max(0.0, at - now), 2) for name, at in self.loading.items()},
--- a/peridotdock/relay/front.py
+++ b/peridotdock/relay/request_handler.py
@@ -10,17 +10,17 @@
 from peridotdock.decisions.overload import Trouble, retry_after
 from peridotdock.deployment import Deployment, Route
 from peridotdock.errors import Failure, Kind, Ran, failed
-from peridotdock.relay.absent import name_item
-from peridotdock.relay.asks import Identity, RelayAsk, RequestHead
-from peridotdock.relay.attempt import Source, Whole
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.item_waits import name_item
+from peridotdock.relay.requests import Identity, RelayRequest, RequestHead
+from peridotdock.relay.attempt import StreamSource, CompleteAnswer
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.identity import Identifier
-from peridotdock.relay.lag import LagWatch
+from peridotdock.relay.lag import HostMonitor
 from peridotdock.relay.peers import Peers
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.quotas import Quotas
 from peridotdock.relay.service import RelayService
-from peridotdock.relay.streaming import pass_on
+from peridotdock.relay.streaming import relay_stream
 from peridotdock.relay.wire import Wire
 from peridotdock.requests import Reply
 from peridotdock.serving import CAME, read_body
@@ -32,10 +32,10 @@
 MAYBE_RAN_STATUS = 502
 # Seconds after its deadline from which on an answer counts as late: timers of a host that is not
 # behind fire some milliseconds late.
-LATE_SECONDS = 0.05
+LATE_TOLERANCE_SECONDS = 0.05
 
 
-class Front:
+class RequestHandler:
     """Takes callers' requests on one host."""
 
     def __init__(
@@ -44,7 +44,7 @@
         wire: Wire,
         service: RelayService,
         peers: Peers,
-        lag: LagWatch,
+        lag: HostMonitor,
         identifier: Identifier,
         quotas: Quotas,
     ):
@@ -56,7 +56,7 @@
         self._identifier = identifier
         self._quotas = quotas
         self.deployment: Deployment | None = None
-        self.in_work = 0
+        self.in_progress = 0
 
     async def handle(self, request: Request) -> Response:
         """Answer one request."""
@@ -64,7 +64,7 @@
         if failed(head):
             return self._refuse(head, "")
         if self._lag.trouble is not None:
-            return self._turn_away(self._lag.trouble, head.attempt_id)
+            return self._reject_overloaded(self._lag.trouble, head.attempt_id)
         deployment = self.deployment
         if deployment is None:
             return self._refuse(
@@ -80,66 +80,66 @@
         body = await read_body(request, deployment.limits.max_body_bytes)
         if failed(body):
             return self._refuse(body, head.attempt_id)
-        ask = make_ask(request, head, route, body, identity)
-        blocked = self._service.blocklist.refusal(ask)
+        req = make_request(request, head, route, body, identity)
+        blocked = self._service.blocklist.refusal(req)
         if blocked is not None:
             # Before it is counted as demand: what is never sent needs no model loaded.
-            return self._refuse(blocked, ask.id)
-        return await self._serve(request, ask)
+            return self._refuse(blocked, req.id)
+        return await self._serve(request, req)
 
-    async def _serve(self, request: Request, ask: RelayAsk) -> Response:
-        caller = CallerEnd(request.scope["receive"])
+    async def _serve(self, request: Request, req: RelayRequest) -> Response:
+        caller = CallerConnection(request.scope["receive"])
         streaming = False
-        self.in_work += 1
+        self.in_progress += 1
         try:
-            limited = await self._quotas.admit(ask, caller)
+            limited = await self._quotas.admit(req, caller)
             if limited is not None:
-                return self._refuse(limited, ask.id)
-            progress = self._service.begin(ask.route)
-            self._count_demand(ask, progress)
-            found = await self._service.open(ask, caller, progress)
+                return self._refuse(limited, req.id)
+            progress = self._service.begin(req.route)
+            self._count_demand(req, progress)
+            found = await self._service.open(req, caller, progress)
             if failed(found):
                 if not found.may_have_run:
-                    self._quotas.give_back(ask)
-                self._count_late(ask)
-                return self._refuse(found, ask.id)
+                    self._quotas.refund(req)
+                self._count_late(req)
+                return self._refuse(found, req.id)
             self._ctx.metrics.requests.labels("answered").inc()
-            self._count_late(ask)
+            self._count_late(req)
             head = found.head
-            if isinstance(found, Whole):
+            if isinstance(found, CompleteAnswer):
                 return answer_reply(Reply(head.status, head.headers, found.body, head.content_type))
             streaming = True
-            body = self._hold(ask, caller, progress, found)
+            body = self._stream_body(req, caller, progress, found)
             return answer_reply(Reply(head.status, head.headers, body, head.content_type))
         finally:
             if not streaming:
-                self._leave(caller)
+                self._finish(caller)
 
-    def _count_late(self, ask: RelayAsk) -> None:
-        if self._ctx.clock.monotonic() > ask.deadline + LATE_SECONDS:
+    def _count_late(self, req: RelayRequest) -> None:
+        if self._ctx.clock.monotonic() > req.deadline + LATE_TOLERANCE_SECONDS:
             self._ctx.metrics.late_answers.inc()
 
-    def _count_demand(self, ask: RelayAsk, progress: Progress) -> None:
+    def _count_demand(self, req: RelayRequest, progress: Progress) -> None:
         """Count what a request asks of the engines, by model and adapter."""
-        wish = ask.head.wish
-        if wish is not None:
-            seconds = read_seconds(self._service.fleet.work(progress.service, wish))
+        inference = req.head.inference
+        if inference is not None:
+            seconds = read_seconds(self._service.fleet.work(progress.service, inference))
             now = self._ctx.clock.monotonic()
-            self._peers.meter.add(name_item(progress.service, wish), seconds, now)
+            self._peers.meter.add(name_item(progress.service, inference), seconds, now)
 
-    async def _hold(self, ask, caller, progress, source: Source):
+    async def _stream_body(self, req, caller, progress, source: StreamSource):
         """Pass a stream on, and count it as in work until it has ended."""
         try:
-            async for part in pass_on(self._service, ask, caller, progress, source):
+            async for part in relay_stream(self._service, req, caller, progress, source):
                 yield part
         finally:
-            self._leave(caller)
+            self._finish(caller)
 
-    def _leave(self, caller: CallerEnd) -> None:
-        self.in_work -= 1
-        caller.release()
+    def _finish(self, caller: CallerConnection) -> None:
+        self.in_progress -= 1
+        caller.stop_watching()
 
-    def _turn_away(self, trouble: Trouble, attempt_id: str) -> Response:
+    def _reject_overloaded(self, trouble: Trouble, attempt_id: str) -> Response:
         """Refuse a request of a host that takes nothing new, and free its connection."""
         failure = Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
         response = self._refuse(failure, attempt_id)
@@ -155,18 +155,20 @@
             detail=f"{failure.kind}: {failure.reason}",
         )
         # A refusal's status promises that nothing has run, which an earlier send may break.
-        unsure = failure.may_have_run and failure.answer.ran is Ran.NO
+        maybe_ran = failure.may_have_run and failure.answer.ran is Ran.NO
         headers = self._wire.write_refusal(attempt_id, failure.retry_after)
         body = json.dumps(failure.describe(attempt_id)).encode()
-        status = MAYBE_RAN_STATUS if unsure else failure.answer.status
+        status = MAYBE_RAN_STATUS if maybe_ran else failure.answer.status
         return Response(status, headers, Content(JSON, body))
 
 
-def make_ask(
+def make_request(
     request: Request, head: RequestHead, route: Route, body: bytes, identity: Identity
-) -> RelayAsk:
+) -> RelayRequest:
     """Return the request to relay; its time runs from when it can have come at the earliest."""
-    came = request.scope[CAME]
+    received_at = request.scope[CAME]
     seconds = route.timeout if head.seconds is None else min(route.timeout, head.seconds)
     target = request.url.value.decode("latin-1")
-    return RelayAsk(head, route, request.method, target, body, came, came + seconds, identity)
+    return RelayRequest(
+        head, route, request.method, target, body, received_at, received_at + seconds, identity
+    )
--- a/peridotdock/relay/asks.py
+++ b/peridotdock/relay/requests.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelWish:
+class InferenceSpec:
     """The model work that a request asks for; ``adapter`` is empty for the bare model."""
 
     model: str
@@ -44,9 +44,9 @@
     host: str
     seconds: float | None
     resume_after: str
-    wish: ModelWish | None
+    inference: InferenceSpec | None
     headers: tuple[tuple[str, str], ...]
-    own_identity: tuple[tuple[str, str], ...] = field(default=(), repr=False)
+    identity_headers: tuple[tuple[str, str], ...] = field(default=(), repr=False)
     key: str = NO_KEY
     tokens: int = 0
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayAsk:
+class RelayRequest:
     """A request to be relayed. ``deadline`` and ``began`` are monotonic seconds.
 
     ``deadline`` is the earlier of the route's time-out and of what the caller will wait.
@@ -71,7 +71,7 @@
     method: str
     target: str
     body: bytes
-    began: float
+    received_at: float
     deadline: float
     identity: Identity = Identity()
 
@@ -84,9 +84,9 @@
         return workspace.rank
 
     @property
-    def first_by(self) -> float:
+    def first_event_deadline(self) -> float:
         """Return when the first sign of an answer must be there, or the caller leaves."""
-        return min(self.deadline, self.began + self.route.patience)
+        return min(self.deadline, self.received_at + self.route.patience)
 
     @property
     def id(self) -> str:
@@ -100,13 +100,13 @@
         Each attempt has an id of its own, and may come to any host. What is asked for stays the
         same: host name, method, target, model and body.
         """
-        wish = self.head.wish
-        item = f"{wish.model}/{wish.adapter}" if wish is not None else ""
+        inference = self.head.inference
+        item = f"{inference.model}/{inference.adapter}" if inference is not None else ""
         return hash_content(self.body, self.head.host, self.method, self.target, item)
 
 
 @dataclass(frozen=True, slots=True)
-class HeldModel:
+class LoadedModel:
     """A model on an endpoint, with the adapters that are loaded for it."""
 
     version: int
@@ -122,16 +122,16 @@
     and how it behaves, is nothing of the next.
     """
 
-    incarnation: str
+    endpoint_id: str
     service: str
     address: str
     domain: str
     slots: int
-    leaving: bool
-    models: Mapping[str, HeldModel] = field(default_factory=dict)
+    draining: bool
+    models: Mapping[str, LoadedModel] = field(default_factory=dict)
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
-    born: int = 0
+    started_ms: int = 0
 
     def items(self) -> set[str]:
         """Return the names of the models and adapters that it holds."""
@@ -143,7 +143,7 @@
 class SendOptions:
     """What one send says beside the caller's request; ``seconds`` is the time left."""
 
-    incarnation: str
+    endpoint_id: str
     seconds: float
     priority: int
     resume_after: str
@@ -169,5 +169,5 @@
     content_type: str
     headers: tuple[tuple[str, str], ...]
     rate_limit: float | None = math.inf
-    leaving: bool = False
-    rest: float = 0.0
+    draining: bool = False
+    backoff: float = 0.0
--- a/peridotdock/relay/settings.py
+++ b/peridotdock/relay/settings.py
@@ -8,8 +8,8 @@
 from peridotdock.decisions.quotas import Tolerance
 
 # What the hub needs; thinner links are left to callers' traffic.
-MANY_MBPS = 50.0
-MANY_CORES = 1.0
+HUB_MIN_LINK_MBPS = 50.0
+HUB_MIN_CORES = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     far workspaces' quotas may be passed.
     """
 
-    leaving: float
+    drain: float
     config: float
     stopping: float
     retry_share: float
@@ -85,11 +85,11 @@
     store: Address
     bounds: Bounds
     metrics: Address | None = None
-    link_mbps: float = MANY_MBPS
+    link_mbps: float = HUB_MIN_LINK_MBPS
     cores: float = 1.0
     first_start: bool = True
 
     @property
-    def strong(self) -> bool:
+    def can_be_hub(self) -> bool:
         """Tell whether this host can pass facts on to all others."""
-        return self.link_mbps >= MANY_MBPS and self.cores >= MANY_CORES
+        return self.link_mbps >= HUB_MIN_LINK_MBPS and self.cores >= HUB_MIN_CORES
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -3,9 +3,9 @@
 from collections.abc import AsyncIterator
 
 from peridotdock.errors import Failure, failed
-from peridotdock.relay.asks import RelayAsk
-from peridotdock.relay.attempt import Source, Whole
-from peridotdock.relay.caller import CallerEnd
+from peridotdock.relay.requests import RelayRequest
+from peridotdock.relay.attempt import StreamSource, CompleteAnswer
+from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.service import RelayService
@@ -14,15 +14,15 @@
 SILENCE_SECONDS = 1.2
 
 
-class PauseWatch:
+class PauseTracker:
     """Finds the longest pause between the events of a stream, and what its endpoint had to do then.
 
     A caller is owed events without pauses; a late one spoils an answer whose first came in time.
     """
 
-    def __init__(self, service: RelayService, ask: RelayAsk):
+    def __init__(self, service: RelayService, req: RelayRequest):
         self._service = service
-        self._ask = ask
+        self._ask = req
         self._last: float | None = None
         self.longest = 0.0
         self._detail = ""
@@ -52,7 +52,7 @@
                 f"{pause:.3f} s before event {event_id}, {running} running, {ahead} tokens ahead"
             )
 
-    def tell(self, state: EndpointState) -> None:
+    def report(self, state: EndpointState) -> None:
         """Count the longest pause of a stream that has ended, and log it when it was too long."""
         ctx, route = self._service.ctx, self._ask.route
         label = ctx.metrics.item_label(route.name)
@@ -69,8 +69,12 @@
     broken_on_purpose = True
 
 
-async def pass_on(
-    service: RelayService, ask: RelayAsk, caller: CallerEnd, progress: Progress, source: Source
+async def relay_stream(
+    service: RelayService,
+    req: RelayRequest,
+    caller: CallerConnection,
+    progress: Progress,
+    source: StreamSource,
 ) -> AsyncIterator[bytes]:
     """Give the caller each event once and in order, and end only when the stream has.
 
@@ -78,31 +82,31 @@
     raises :class:`AnswerBrokenError`, so that the server closes the connection without the end
     that would make it look complete.
     """
-    pauses = PauseWatch(service, ask)
+    pauses = PauseTracker(service, req)
     while True:
         outcome: Failure | None = None
         try:
-            async for raw in _pass_part(service, ask, caller, progress, source, pauses):
+            async for raw in _relay_source(service, req, caller, progress, source, pauses):
                 if failed(raw):
                     outcome = raw
                 else:
                     yield raw
         finally:
             whole = outcome is None and source.ended and not source.ready
-            service.fleet.ended(source.state, ask.id, progress.service, whole)
+            service.fleet.ended(source.state, req.id, progress.service, whole)
             await source.close(caller)
         if outcome is None:
-            pauses.tell(source.state)
-            service.blocklist.note_answer(ask)
+            pauses.report(source.state)
+            service.blocklist.note_answer(req)
             return
-        streamed = service.ctx.clock.monotonic() - source.began
-        service.note_loss(ask, source.state, outcome, streamed)
-        found = await _resume(service, ask, caller, progress, outcome)
+        streamed = service.ctx.clock.monotonic() - source.started_at
+        service.note_loss(req, source.state, outcome, streamed)
+        found = await _resume(service, req, caller, progress, outcome)
         if failed(found):
             service.ctx.timeline.add(
                 "answer_broken",
                 "WARNING",
-                request=ask.id,
+                request=req.id,
                 endpoint=source.state.key,
                 detail=f"{found.kind}: {found.reason}, last event {progress.last_id}",
             )
@@ -110,24 +114,24 @@
         source = found
 
 
-async def _pass_part(
+async def _relay_source(
     service: RelayService,
-    ask: RelayAsk,
-    caller: CallerEnd,
+    req: RelayRequest,
+    caller: CallerConnection,
     progress: Progress,
-    source: Source,
-    pauses: PauseWatch,
+    source: StreamSource,
+    pauses: PauseTracker,
 ) -> AsyncIterator[bytes | Failure]:
     """Give one endpoint's events; a loss is the last thing given."""
 
-    def stay() -> float:
+    def extra_wait() -> float:
         """Return how long to wait on for a silent endpoint: not where another may take over."""
-        if service.may_move(ask, progress, source.state):
+        if service.may_resume_elsewhere(req, progress, source.state):
             return 0.0
-        return ask.deadline - service.ctx.clock.monotonic()
+        return req.deadline - service.ctx.clock.monotonic()
 
     while True:
-        events = source.take()
+        events = source.pop_ready()
         if events:
             gap = pauses.note(source.state, events[0].id)
             if gap is not None:
@@ -140,21 +144,25 @@
             yield event.raw
         if source.ended:
             return
-        left = ask.deadline - service.ctx.clock.monotonic()
-        silent = left > SILENCE_SECONDS
-        fault = await source.fill(caller, min(left, SILENCE_SECONDS), silent, stay)
-        if fault is not None:
-            yield fault
+        remaining = req.deadline - service.ctx.clock.monotonic()
+        silent = remaining > SILENCE_SECONDS
+        failure = await source.fill(caller, min(remaining, SILENCE_SECONDS), silent, extra_wait)
+        if failure is not None:
+            yield failure
             return
 
 
 async def _resume(
-    service: RelayService, ask: RelayAsk, caller: CallerEnd, progress: Progress, lost: Failure
-) -> Source | Failure:
+    service: RelayService,
+    req: RelayRequest,
+    caller: CallerConnection,
+    progress: Progress,
+    lost: Failure,
+) -> StreamSource | Failure:
     """Take a stream up after its last event, where the route allows it."""
-    if not service.may_repeat(ask, caller, progress, lost):
+    if not service.may_repeat(req, caller, progress, lost):
         return lost
-    found = await service.open(ask, caller, progress)
-    if isinstance(found, Whole):
+    found = await service.open(req, caller, progress)
+    if isinstance(found, CompleteAnswer):
         return lost
     return found
--- a/peridotdock/relay/wire.py
+++ b/peridotdock/relay/wire.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from peridotdock.errors import Failure
-from peridotdock.relay.asks import AnswerHead, RelayAsk, RequestHead, SendOptions
+from peridotdock.relay.requests import AnswerHead, RelayRequest, RequestHead, SendOptions
 
 
 class Wire(Protocol):
@@ -13,7 +13,7 @@
     def read_request(self, headers: Iterable[tuple[bytes, bytes]]) -> RequestHead | Failure:
         """Decode the head of a caller's request, or say what is wrong with it."""
 
-    def write_send(self, ask: RelayAsk, options: SendOptions) -> dict[str, str]:
+    def write_send(self, req: RelayRequest, options: SendOptions) -> dict[str, str]:
         """Return the headers of one send to an endpoint."""
 
     def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
--- a/peridotdock/relay/words.py
+++ b/peridotdock/relay/words.py
@@ -9,7 +9,7 @@
 
 from peridotdock.board import Known, Slot
 from peridotdock.context import Context
-from peridotdock.relay.asks import AnswerHead, RelayAsk
+from peridotdock.relay.requests import AnswerHead, RelayRequest
 from peridotdock.relay.endpoint import EndpointState, LimitWord
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
@@ -33,7 +33,7 @@
         peers.board.listen(self._changed)
 
     def note_answer(
-        self, ask: RelayAsk, state: EndpointState, head: AnswerHead, sent: float
+        self, ask: RelayRequest, state: EndpointState, head: AnswerHead, sent: float
     ) -> None:
         """Take in what an answer says of its endpoint, and tell the hub of a change.
 
@@ -46,13 +46,13 @@
             detail = f"{rate:.2f} requests a second"
             self._ctx.timeline.add(event, request=ask.id, endpoint=state.key, detail=detail)
             self.tell()
-        if head.leaving and not state.said_leaving:
+        if head.draining and not state.said_leaving:
             state.said_leaving = True
             self._ctx.timeline.add("endpoint_said_leaving", request=ask.id, endpoint=state.key)
             self.tell()
-        if head.rest and now + head.rest > state.rests_until:
-            state.rests_until = now + head.rest
-            detail = f"wants nothing for {head.rest:.2f} s"
+        if head.backoff and now + head.backoff > state.rests_until:
+            state.rests_until = now + head.backoff
+            detail = f"wants nothing for {head.backoff:.2f} s"
             self._ctx.timeline.add(
                 "endpoint_rests", request=ask.id, endpoint=state.key, detail=detail
             )
@@ -81,7 +81,7 @@
         return [
             EndpointWord(
                 state.key,
-                state.entry.born,
+                state.entry.started_ms,
                 state.limit.rate,
                 round(1000 * min(OLDEST_SECONDS, max(0.0, now - state.limit.at))),
                 state.said_leaving,
@@ -109,7 +109,7 @@
         changed = False
         for row in known.fact.rows:
             state = self._fleet.states.get(row.endpoint)
-            if state is None or state.entry.born != row.born:
+            if state is None or state.entry.started_ms != row.born:
                 continue
             state.named_limit = True
             changed = changed or row.leaving > state.said_leaving
--- a/tests/relay/test_adapter.py
+++ b/tests/relay/test_adapter.py
@@ -12,7 +12,7 @@
 from peridotdock.platform.documents import decode_deployment
 from peridotdock.platform.settings import load_settings
 from peridotdock.platform.wire import PlatformWire
-from peridotdock.relay.asks import RelayAsk, SendOptions
+from peridotdock.relay.requests import RelayRequest, SendOptions
 
 SETTINGS = """
 node_name = "front-1"
@@ -82,7 +82,7 @@
         found = self.load(SETTINGS)
         self.assertEqual("10.1.0.1:8149", str(found.listen.callers))
         bounds = found.bounds
-        self.assertEqual((2.0, 1.5, 3.0), (bounds.leaving, bounds.config, bounds.order_lease))
+        self.assertEqual((2.0, 1.5, 3.0), (bounds.drain, bounds.config, bounds.order_lease))
 
     @params(("", True), ("bootstrap = true\n", True), ("bootstrap = false\n", False))
     def test_a_start_is_the_first_unless_the_file_denies_it(self, line, first):
@@ -161,10 +161,12 @@
         )
         self.assertEqual(
             ("m1", "a2", 1460),
-            found.wish.__class__
-            and (found.wish.model, found.wish.adapter, found.wish.prompt_tokens),
+            found.inference.__class__
+            and (found.inference.model, found.inference.adapter, found.inference.prompt_tokens),
+        )
+        self.assertEqual(
+            [("5c", 800), ("91", 410)], [(p.id, p.tokens) for p in found.inference.parts]
         )
-        self.assertEqual([("5c", 800), ("91", 410)], [(p.id, p.tokens) for p in found.wish.parts])
 
     @params(
         ("no id", {"x_attempt_id": ""}),
@@ -197,7 +199,7 @@
     def test_a_send_names_its_endpoint_and_the_time_that_is_left(self):
         route = decode().match("shop.example", "/a/")
         asked = self.wire.read_request(head(x_model="m1", x_deadline_ms="6000"))
-        ask = RelayAsk(asked, route, "POST", "/a/", b"", 0.0, 6.0)
+        ask = RelayRequest(asked, route, "POST", "/a/", b"", 0.0, 6.0)
         found = self.wire.write_send(ask, SendOptions("i-1", 1.5, 3, "12"))
         self.assertEqual(
             ("i-1", "1500", "3", "12", "a1"),
--- a/tests/relay/test_entries.py
+++ b/tests/relay/test_entries.py
@@ -83,13 +83,13 @@
 class DecodeTest(unittest.TestCase):
     def test_a_whole_entry_is_taken(self):
         found = decode(changed())
-        self.assertEqual(("e1", 1_700_000_000_000), (found.incarnation, found.born))
+        self.assertEqual(("e1", 1_700_000_000_000), (found.endpoint_id, found.started_ms))
         self.assertEqual({"a1"}, found.models["m0"].adapters)
         self.assertEqual({"m0", "m1"}, found.on_disk)
-        self.assertFalse(found.leaving)
+        self.assertFalse(found.draining)
 
     def test_an_endpoint_that_drains_is_leaving(self):
-        self.assertTrue(decode(changed(state="draining")).leaving)
+        self.assertTrue(decode(changed(state="draining")).draining)
 
     @params("born", "models", "at_hand")
     def test_a_field_that_may_be_absent(self, name):
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -9,7 +9,7 @@
 from peridotdock.context import build_context
 from peridotdock.decisions.overload import UNREADY_SECONDS
 from peridotdock.events import Filter
-from peridotdock.relay.lag import TROUBLE_LOOK_SECONDS, DescriptorCount, LagWatch
+from peridotdock.relay.lag import OVERLOADED_CHECK_SECONDS, DescriptorCount, HostMonitor
 from peridotdock.schema.settings import Settings
 from peridotdock.turns import Turns, WatchedLoop
 from tests.fakes import FakeClock
@@ -78,7 +78,7 @@
         clock = FakeClock()
         ctx = build_context(CFG, clock)
         turns = Turns(clock.monotonic)
-        return clock, ctx, turns, LagWatch(ctx, turns, lambda: 7, lambda: count)
+        return clock, ctx, turns, HostMonitor(ctx, turns, lambda: 7, lambda: count)
 
     def hold(self, clock, turns, seconds):
         turns.end()
@@ -97,7 +97,7 @@
         for _ in range(12):
             self.hold(clock, turns, 1.0)
             turns.accepted += 30
-            asyncio.run(watch.look())
+            asyncio.run(watch.check())
         lines = [event.detail for event in ctx.timeline.select(Filter()) if "behind" in event.name]
         self.assertEqual(3, len(lines), "one each five seconds")
         self.assertEqual(
@@ -108,14 +108,14 @@
         turns.end()
         clock.time += 3.0
         turns.begin(None)
-        asyncio.run(watch.look())
+        asyncio.run(watch.check())
         self.assertEqual("loop_caught_up", ctx.timeline.select(Filter())[-1].name)
 
     def test_metrics_show_the_same(self):
         clock, ctx, turns, watch = self.watch()
         self.hold(clock, turns, 0.5)
         turns.accepted = 3
-        asyncio.run(watch.look())
+        asyncio.run(watch.check())
         text = ctx.metrics.render().decode()
         self.assertIn("peridotdock_loop_lag_seconds 0.5", text)
         self.assertIn("peridotdock_accepted_total 3.0", text)
@@ -124,7 +124,7 @@
 
     def test_a_system_that_does_not_tell_is_no_fault(self):
         _, ctx, _, watch = self.watch(count=None)
-        asyncio.run(watch.look())
+        asyncio.run(watch.check())
         self.assertEqual([], ctx.timeline.select(Filter()))
 
     def test_a_host_in_trouble_is_looked_at_more_often(self):
@@ -133,13 +133,13 @@
         Its calm shows two seconds after its last long turn, and was looked for once a second.
         """
         _, _, _, watch = self.watch()
-        usual = watch.look_seconds()
+        usual = watch.check_interval()
         watch.count = lambda: DescriptorCount(4090, 4100)
-        asyncio.run(watch.look())
-        self.assertLessEqual(watch.look_seconds(), usual / 4)
+        asyncio.run(watch.check())
+        self.assertLessEqual(watch.check_interval(), usual / 4)
         watch.count = lambda: COUNT
-        asyncio.run(watch.look())
-        self.assertEqual(usual, watch.look_seconds())
+        asyncio.run(watch.check())
+        self.assertEqual(usual, watch.check_interval())
 
     @params(0.0, 0.3, 0.6, 0.9)
     def test_a_host_is_found_behind_in_the_time_it_is_allowed(self, phase):
@@ -149,15 +149,15 @@
         later; then it was looked at once a second, with a jitter of a tenth.
         """
         clock, _, turns, watch = self.watch()
-        asyncio.run(watch.look())
-        due = clock.time + 1.1 * watch.look_seconds()
+        asyncio.run(watch.check())
+        due = clock.time + 1.1 * watch.check_interval()
         self.wait(clock, turns, phase)
         began = clock.time
         while watch.trouble is None:
             self.hold(clock, turns, TURN_SECONDS)
             if clock.time >= due:
-                asyncio.run(watch.look())
-                due = clock.time + 1.1 * watch.look_seconds()
+                asyncio.run(watch.check())
+                due = clock.time + 1.1 * watch.check_interval()
         found = clock.time - began
         self.assertGreaterEqual(found, UNREADY_SECONDS)
-        self.assertLessEqual(found, UNREADY_SECONDS + 1.1 * TROUBLE_LOOK_SECONDS + TURN_SECONDS)
+        self.assertLessEqual(found, UNREADY_SECONDS + 1.1 * OVERLOADED_CHECK_SECONDS + TURN_SECONDS)
--- a/tests/relay/test_late.py
+++ b/tests/relay/test_late.py
@@ -11,7 +11,7 @@
 from peridotdock.decisions.draft import Demand
 from peridotdock.deployment import Deployment, Service
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import EndpointEntry, HeldModel
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.late import LATE_SECONDS, LateOrders
 from peridotdock.relay.ordering import Orderer
@@ -46,8 +46,10 @@
         self.overfilled = 0
 
     def entry(self):
-        held = {name: HeldModel(1, frozenset(names)) for name, names in self.models.items()}
-        return EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, held, born=self.born)
+        held = {name: LoadedModel(1, frozenset(names)) for name, names in self.models.items()}
+        return EndpointEntry(
+            "e1", "s", "10.0.0.1:80", "north", 8, False, held, started_ms=self.born
+        )
 
     def restart(self):
         self.born += 1
--- a/tests/relay/test_loads.py
+++ b/tests/relay/test_loads.py
@@ -6,7 +6,7 @@
 from peridotdock.decisions.draft import Demand
 from peridotdock.links import Link
 from peridotdock.membership import Member
-from peridotdock.relay.asks import ModelWish
+from peridotdock.relay.requests import InferenceSpec
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import UPWARD, Peers
 from peridotdock.relay.settings import Address, HostSettings, Listen
@@ -96,7 +96,7 @@
         self.hear(peers, "h2", "host", self.host_fact("h2", 0))
         rows = {("i-1", "m0"): 2, ("i-1", "m0/a1"): 1, ("i-2", "m1"): 4}
         self.hear(peers, "h2", "runs", write_runs(rows))
-        wish = ModelWish("m0", "a1", 10, 1, ())
+        wish = InferenceSpec("m0", "a1", 10, 1, ())
         fleet.began(fleet.states["i-1"], "a1", wish, 10)
         peers.tell_runs()
         expected = {"i-1": {"m0": 2, "m0/a1": 2}, "i-2": {"m1": 4}}
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -10,7 +10,7 @@
 from peridotdock.decisions.freshness import wait_after
 from peridotdock.errors import Failure, Kind
 from peridotdock.membership import Membership
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.following import Follower
 from peridotdock.relay.leadership import Leadership
@@ -261,7 +261,7 @@
             await begun.wait()
             [chosen] = [s.key for s in host.fleet.states.values() if s.flights]
             entry = host.fleet.states[chosen].entry
-            host.fleet.update({chosen: replace(entry, leaving=True)})
+            host.fleet.update({chosen: replace(entry, draining=True)})
             slow.set()
             status, _, _ = await ask
             self.assertEqual(200, status)
--- a/tests/relay/test_ordering.py
+++ b/tests/relay/test_ordering.py
@@ -12,7 +12,7 @@
 from peridotdock.clients.engines import Action, EngineOrder, EngineState
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.errors import failed
-from peridotdock.relay.asks import EndpointEntry, HeldModel
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.leadership import (
     ACT_SECONDS,
     LAPSE_SECONDS,
@@ -357,12 +357,12 @@
 
 
 def entry(*models):
-    held = {name: HeldModel(1, frozenset()) for name in models}
+    held = {name: LoadedModel(1, frozenset()) for name in models}
     return EndpointEntry("i-1", "s", "10.0.0.1:80", "north", 8, False, held)
 
 
 def report(seq, *models, busy=False):
-    held = {name: HeldModel(1, frozenset()) for name in models}
+    held = {name: LoadedModel(1, frozenset()) for name in models}
     return EngineState(seq, busy, held, frozenset(), frozenset(), frozenset())
 
 
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -203,10 +203,10 @@
         async with Deployment() as found:
             lag = found.hosts[0].lag
             lag.count = lambda: DescriptorCount(4090, 4100)
-            await lag.look()
+            await lag.check()
             await self.check_refuses(found)
             lag.count = lambda: DescriptorCount(90, 4100)
-            await lag.look()
+            await lag.check()
             self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
 
     @run
@@ -239,13 +239,13 @@
 
             await until_named(True)
             unready.lag.count = lambda: DescriptorCount(4090, 4100)
-            await unready.lag.look()
+            await unready.lag.check()
             await until_named(False)
             found.configure(version=9)
             await found.until(lambda: unready.front.deployment.version == 9)
             self.assertNotIn(address, await named())
             unready.lag.count = lambda: DescriptorCount(90, 4100)
-            await unready.lag.look()
+            await unready.lag.check()
             await until_named(True)
 
 
--- a/tests/relay/test_pacing.py
+++ b/tests/relay/test_pacing.py
@@ -361,7 +361,7 @@
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m0",)))) as found:
             server = await self.start(found)
             for number in range(4):
-                server.take(f"h{number}", wanted(number, tokens=4000))
+                server.enqueue(f"h{number}", wanted(number, tokens=4000))
             engines = [frame.endpoint for _, frame in self.told]
             self.assertEqual(["", "", "e1", "e2"], sorted(engines))
             await found.until(lambda: len(self.told) == 6)
@@ -378,7 +378,7 @@
             state = found.hosts[0].fleet.states["e2"]
             await found.until(lambda: state.entry.domain == "south")
             server = await self.start(found, {"h1": domain})
-            server.take("h1", wanted(1))
+            server.enqueue("h1", wanted(1))
             self.assertEqual(engine, self.told[-1][1].endpoint)
 
     @run
@@ -389,9 +389,9 @@
         """
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m0",)))) as found:
             server = await self.start(found)
-            server.take("h1", wanted(1, tokens=900))
+            server.enqueue("h1", wanted(1, tokens=900))
             await asyncio.sleep(0.1)
-            server.take("h2", wanted(2, tokens=900))
+            server.enqueue("h2", wanted(2, tokens=900))
             first, second = (frame.endpoint for _, frame in self.told)
             self.assertEqual(first, second)
 
@@ -400,7 +400,7 @@
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m0",)))) as found:
             server = await self.start(found)
             for number in range(8):
-                server.take("h1", wanted(number, avoid=["e1"]))
+                server.enqueue("h1", wanted(number, avoid=["e1"]))
             self.assertEqual({"e2", ""}, {frame.endpoint for _, frame in self.told} | {""})
 
     @run
@@ -408,17 +408,17 @@
         async with Deployment(engines=(("e1", ("m0",)),)) as found:
             server = await self.start(found)
             for number in range(3):
-                server.take("h1", wanted(number, tokens=9000))
+                server.enqueue("h1", wanted(number, tokens=9000))
             self.assertEqual(["e1", ""], [frame.endpoint for _, frame in self.told[:2]])
             server.drop("h1", GrantDropped("grant_dropped", 1))
-            await found.until(lambda: ("h1", 2) not in server._wanted)
+            await found.until(lambda: ("h1", 2) not in server._queued_grants)
             self.assertEqual((2, "e1"), (self.told[-1][1].number, self.told[-1][1].endpoint))
 
     @run
     async def test_parts_without_tokens_are_no_prompt(self):
         async with Deployment() as found:
             server = await self.start(found)
-            server.take("h1", replace(wanted(1), part_tokens=[1]))
+            server.enqueue("h1", replace(wanted(1), part_tokens=[1]))
             self.assertEqual([], self.told)
 
     def test_the_shortest_pause_of_a_service_counts(self):
@@ -457,8 +457,8 @@
                 status, _, _ = await found.ask("/recap/", f"a{number}", "m0", to=other)
                 self.assertEqual(200, status)
             asked = found.hosts[other].grants
-            self.assertEqual({}, asked._questions)
-            self.assertGreater(asked._rests_until, began)
+            self.assertEqual({}, asked._calls)
+            self.assertGreater(asked._backoff_until, began)
 
     @run
     async def test_a_caller_that_leaves_the_queue_is_dropped(self):
@@ -469,10 +469,10 @@
             for number in range(8):
                 state.flights[f"f{number}"] = None
             task = asyncio.ensure_future(found.ask("/recap/", "a1", "m0"))
-            await found.until(lambda: host.grants._questions)
+            await found.until(lambda: host.grants._calls)
             task.cancel()
-            await found.until(lambda: not host.grants._questions)
-            self.assertEqual({}, host.grants.server._wanted)
+            await found.until(lambda: not host.grants._calls)
+            self.assertEqual({}, host.grants.server._queued_grants)
             state.flights.clear()
             await asyncio.sleep(2 * FULL_SECONDS)
             self.assertEqual([], found.engines["e1"].seen)
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -20,7 +20,7 @@
 from peridotdock.decisions.poison import find_poison
 from peridotdock.events import Filter
 from peridotdock.keeping import BLOCKED_KEY, BlocklistKeeper
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import LAPSE_SECONDS, RelayFleet
 from peridotdock.requests import hash_content
 from peridotdock.trials import TRIAL_SECONDS
@@ -242,7 +242,7 @@
     """Whether an endpoint that broke an answer off at 1,000 s has ended."""
 
     def entry(self, born):
-        return EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, born=born)
+        return EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, started_ms=born)
 
     async def look(self, born, later, sent=None, refused=False):
         clock = FakeClock()
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -19,7 +19,7 @@
 )
 from peridotdock.events import Filter
 from peridotdock.limits import Bucket
-from peridotdock.relay.quotas import LOW_SECONDS, RETRY_SPREAD
+from peridotdock.relay.quotas import LOW_REPUBLISH_SECONDS, RETRY_JITTER_SHARE
 from peridotdock.workspaces import Quota
 from tests.relay.deployment import Deployment
 from tests.relay.test_relay import run
@@ -97,7 +97,7 @@
             hub = self._hub(group[0])
             low = hub.low({"w": self.quota}, self._share(group[0]), self.now)
             told = self.told.get(group[0], (-math.inf, None))
-            if low != told[1] or self.now - told[0] >= LOW_SECONDS:
+            if low != told[1] or self.now - told[0] >= LOW_REPUBLISH_SECONDS:
                 self.told[group[0]] = self.now, low
                 self.at(self.now + self.lag / 2, self._hear, group[0], low)
 
@@ -300,7 +300,7 @@
                 status, headers, _ = await found.ask(
                     "/fetch/", f"a{number}", authorization="Bearer key-one"
                 )
-            await asyncio.sleep(float(headers["retry-after"]) / (1 - RETRY_SPREAD / 2))
+            await asyncio.sleep(float(headers["retry-after"]) / (1 - RETRY_JITTER_SHARE / 2))
             status, _, _ = await found.ask("/fetch/", "b1", authorization="Bearer key-one")
             self.assertEqual(200, status)
 
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -15,7 +15,7 @@
 from peridotdock.decisions.pacing import Denial, PaceLimit, Pacer, PromptAsk
 from peridotdock.decisions.permits import PROMISE_SECONDS, Permits, retry_after
 from peridotdock.platform.wire import PlatformWire
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.endpoint import EndpointState, next_start
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.words import HEARD, TOLD
@@ -152,7 +152,7 @@
     def test_the_word_of_a_start_before_does_not_bind(self):
         known = EndpointState(ENTRY, Health())
         known.note_limit(1.0, 1.0, 1.1)
-        self.assertFalse(next_start(known, replace(ENTRY, born=7)).limited)
+        self.assertFalse(next_start(known, replace(ENTRY, started_ms=7)).limited)
 
     @run
     async def test_an_endpoint_whose_entry_was_away_is_held_to_what_it_said(self):
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -12,15 +12,15 @@
 from peridotdock.decisions.backoff import FIRST_SECONDS, MOST_SHARE, backoff_seconds
 from peridotdock.decisions.health import Health
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.asks import EndpointEntry, HeldModel, ModelWish
+from peridotdock.relay.requests import EndpointEntry, LoadedModel, InferenceSpec
 from peridotdock.relay.endpoint import LACKS_SECONDS, EndpointState, HeardNews
-from peridotdock.relay.streaming import SILENCE_SECONDS, PauseWatch
+from peridotdock.relay.streaming import SILENCE_SECONDS, PauseTracker
 from peridotdock.schema.messages import EngineNews
 from tests.fakes import FakeClock
 from tests.relay.deployment import Deployment
 from tests.relay.test_relay import ids, run
 
-WISH = ModelWish("m0", "a1", 900, 20, ())
+WISH = InferenceSpec("m0", "a1", 900, 20, ())
 ITEMS = frozenset({"m0", "m0/a1"})
 
 
@@ -30,7 +30,7 @@
 
 class LackTest(unittest.TestCase):
     def state(self):
-        held = {"m0": HeldModel(1, frozenset({"a1"}))}
+        held = {"m0": LoadedModel(1, frozenset({"a1"}))}
         return EndpointState(
             EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, held), Health()
         )
@@ -79,7 +79,7 @@
             await found.until(host.leadership.holds)
             runner.models["m0"].add("a1")
             runner.on_change()
-            wish = ModelWish("m0", "a1", 0, 0, ())
+            wish = InferenceSpec("m0", "a1", 0, 0, ())
             await found.until(lambda: host.fleet.usable("engines", wish))
             runner.models["m0"].clear()
             asked = asyncio.create_task(found.ask("/recap/", model="m0/a1"))
@@ -97,7 +97,7 @@
         async with Deployment() as found:
             host = found.hosts[0]
             state = host.fleet.states["e1"]
-            ask = SimpleNamespace(head=SimpleNamespace(wish=WISH), id="a1")
+            ask = SimpleNamespace(head=SimpleNamespace(inference=WISH), id="a1")
             for kind, suspect in ((Kind.ENDPOINT_LACKS, False), (Kind.ENDPOINT_REFUSED, True)):
                 for _ in range(9):
                     host.service.note_loss(ask, state, Failure(kind))
@@ -200,12 +200,12 @@
         timeline = SimpleNamespace(add=lambda *_, **fields: events.append(fields["detail"]))
         ctx = SimpleNamespace(clock=clock, metrics=metrics, timeline=timeline)
         route = SimpleNamespace(name="recap", longest_pause=limit)
-        watch = PauseWatch(SimpleNamespace(ctx=ctx), SimpleNamespace(route=route, id="a1"))
+        watch = PauseTracker(SimpleNamespace(ctx=ctx), SimpleNamespace(route=route, id="a1"))
         state = EndpointState(EndpointEntry("e1", "s", "1:1", "north", 8, False), Health())
         watch.note(state, 0)
         for number, wait in enumerate(waits, 1):
             clock.advance(wait)
             watch.note(state, number)
-        watch.tell(state)
+        watch.report(state)
         self.assertAlmostEqual(longest, observed[0], msg=name)
         self.assertEqual(told, [detail.partition(",")[0] for detail in events], name)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -256,7 +256,7 @@
             leaving = found.pages["p1"].entry("pages", state="draining")
             found.store.put("servers", "p1", leaving)
             fleet = found.hosts[0].fleet
-            await found.until(lambda: fleet.states["p1"].entry.leaving, 2.0)
+            await found.until(lambda: fleet.states["p1"].entry.draining, 2.0)
             for number in range(6):
                 self.assertEqual(200, (await found.ask("/bind/", f"a{number}"))[0])
             self.assertEqual([], found.pages["p1"].seen)
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -13,7 +13,7 @@
 from peridotdock.decisions.eviction import Claim, find_victims
 from peridotdock.errors import Failure, Kind
 from peridotdock.platform.endpoints import decode_report
-from peridotdock.relay.asks import EndpointEntry, HeldModel, ModelWish, PromptPart
+from peridotdock.relay.requests import EndpointEntry, LoadedModel, InferenceSpec, PromptPart
 from peridotdock.relay.endpoint import OthersLoad
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.late import LATE_SECONDS, LateOrders
@@ -28,16 +28,16 @@
 FIRST, SECOND = 1_000, 2_000
 # The fake clock's start.
 NOW = 1000.0
-WISH = ModelWish("m0", "", 900, 20, (PromptPart("aa", 600), PromptPart("bb", 300)))
+WISH = InferenceSpec("m0", "", 900, 20, (PromptPart("aa", 600), PromptPart("bb", 300)))
 
 
 def held(*models):
-    return {name: HeldModel(1, frozenset()) for name in models}
+    return {name: LoadedModel(1, frozenset()) for name in models}
 
 
 def entry(born, *models, leaving=False, service="s"):
     return EndpointEntry(
-        "e1", service, "10.0.0.1:80", "north", 8, leaving, held(*models), born=born
+        "e1", service, "10.0.0.1:80", "north", 8, leaving, held(*models), started_ms=born
     )
 
 
@@ -91,7 +91,7 @@
         self.fleet.update({"e1": entry(FIRST, "m0", leaving=True)})
         self.assertIs(state, self.state())
         self.assertEqual(900, state.cached(WISH))
-        self.assertTrue(state.entry.leaving)
+        self.assertTrue(state.entry.draining)
 
     async def test_an_endpoint_that_was_leaving_takes_work_after_its_next_start(self):
         self.fleet.update({"e1": entry(FIRST, "m0", leaving=True)})
@@ -330,7 +330,7 @@
             status, _, _ = await found.ask("/bind/", "a1")
             self.assertEqual(200, status)
             runner.restart()
-            await found.until(lambda: host.fleet.states["p1"].entry.born == runner.born)
+            await found.until(lambda: host.fleet.states["p1"].entry.started_ms == runner.born)
             status, _, body = await found.ask("/bind/", "a2")
             self.assertEqual(200, status, body)
 
@@ -343,7 +343,7 @@
             host, runner = found.hosts[0], found.engines["e1"]
             await found.until(lambda: "m1" in runner.models)
             runner.restart()
-            await found.until(lambda: host.fleet.states["e1"].entry.born == runner.born)
+            await found.until(lambda: host.fleet.states["e1"].entry.started_ms == runner.born)
             self.assertEqual(0, host.fleet.states["e1"].cached(WISH))
             await found.until(lambda: {"m0", "m1"} <= {*runner.models}, 10.0)
             status, _, _ = await found.ask("/recap/", "a1", "m0")
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -8,10 +8,10 @@
 
 from peridotdock.decisions.health import Health
 from peridotdock.platform.wire import PlatformWire
-from peridotdock.relay.asks import EndpointEntry
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.endpoint import EndpointState, next_start
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.grants import Granted
+from peridotdock.relay.grants import GrantedEndpoint
 from tests.fakes import FakeClock
 from tests.relay.deployment import Deployment
 from tests.relay.test_rate_limits import burst
@@ -39,7 +39,7 @@
     )
     def test_the_head_of_an_answer(self, status, headers, leaving, rest):
         head = PlatformWire().read_answer(status, headers)
-        self.assertEqual((leaving, rest), (head.leaving, head.rest))
+        self.assertEqual((leaving, rest), (head.draining, head.backoff))
 
     @params(200, 500, 503)
     def test_callers_are_not_told_an_endpoints_time_to_come_back(self, status):
@@ -83,7 +83,7 @@
         fleet.replace([ENTRY])
         self.assertEqual([], fleet.usable("s", None))
         self.assertFalse(fleet.states["e1"].takes_work())
-        fleet.replace([replace(ENTRY, born=7)])
+        fleet.replace([replace(ENTRY, started_ms=7)])
         self.assertEqual(1, len(fleet.usable("s", None)))
 
     @run
@@ -226,14 +226,14 @@
 
             async def grant(*args):
                 host.fleet.states["e1"].rests_until = host.ctx.clock.monotonic() + 9.0
-                return Granted("e1", 0.0)
+                return GrantedEndpoint("e1", 0.0)
 
-            host.grants.ask = grant
+            host.grants.request_grant = grant
             status, _, _ = await found.ask("/recap/", model="m0")
             self.assertEqual(200, status)
             self.assertEqual([], found.engines["e1"].seen)
 
     def test_the_rest_of_a_start_before_does_not_bind(self):
         known = EndpointState(ENTRY, Health(), rests_until=1e9, said_leaving=True)
-        state = next_start(known, replace(ENTRY, born=7))
+        state = next_start(known, replace(ENTRY, started_ms=7))
         self.assertEqual((float("-inf"), False), (state.rests_until, state.leaving))
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -9,7 +9,7 @@
 from peridotdock.deployment import Deployment as DeploymentSpec
 from peridotdock.errors import Kind
 from peridotdock.platform.documents import decode_deployment, hide_keys
-from peridotdock.relay.asks import RequestHead
+from peridotdock.relay.requests import RequestHead
 from peridotdock.relay.identity import Identifier
 from peridotdock.relay.settings import Bounds
 from peridotdock.workspaces import Quota, Workspace
@@ -112,7 +112,7 @@
     def test_without_workspaces_callers_headers_go_on(self):
         spec = decode(tenants=[])
         rows = (("authorization", "Bearer key-one"), ("x-tenant", "mine"))
-        ask = RequestHead("a1", "shop.example", None, "", None, (), own_identity=rows)
+        ask = RequestHead("a1", "shop.example", None, "", None, (), identity_headers=rows)
         found = Identifier(BOUNDS, lambda: 0.0).identify(
             spec, spec.match("shop.example", "/fetch/"), ask
         )
