--- a/tests/relay/test_connections.py
+++ b/tests/relay/test_connections.py
@@ -37,7 +37,7 @@
         await opened.release()
 
 
-class KeptTest(unittest.TestCase):
+class KeepAliveTest(unittest.TestCase):
     @params(("serve", {}), ("refuse", {}), ("error", {}), ("serve", {"x-model": "m0"}))
     def test_one_connection_serves_requests_one_after_the_other(self, step, headers):
         async def check():
@@ -90,7 +90,7 @@
         self.assertEqual([1, 1, 2], asyncio.run(check()))
 
 
-class DarkEndpoint:
+class UnresponsiveEndpoint:
     """An address that takes no connection and refuses none: its queue of new ones is full."""
 
     def __enter__(self):
@@ -111,7 +111,7 @@
             sock.close()
 
 
-class DarkTest(unittest.TestCase):
+class ConnectTimeoutTest(unittest.TestCase):
     """A page that takes 45 ms is refused after its whole time, beside an endpoint that is idle.
 
     One endpoint's machine has gone dark: connections to it are neither made nor refused. The
@@ -122,7 +122,7 @@
     def test_a_connection_that_is_not_made_is_given_up_while_there_is_time(self):
         async def check():
             async with Deployment(pages=("p1", "p2")) as found:
-                with DarkEndpoint() as dark:
+                with UnresponsiveEndpoint() as dark:
                     entry = found.pages["p1"].entry("pages", address=dark.address)
                     found.store.put("servers", "p1", entry)
                     fleet = found.hosts[0].fleet
@@ -145,7 +145,7 @@
             async def connect_and_stall(sock, address):
                 if address[1] == port:
                     stalls.append(address)
-                    after_turns(turns, partial(time.sleep, STALL_SECONDS))
+                    call_after_iterations(turns, partial(time.sleep, STALL_SECONDS))
                 await connect(sock, address)
 
             async with Deployment() as found:
@@ -157,13 +157,13 @@
         asyncio.run(asyncio.wait_for(check(), 30))
 
 
-def after_turns(turns, work):
+def call_after_iterations(turns, work):
     """Call ``work`` so many turns of the loop from now."""
     loop = asyncio.get_running_loop()
-    loop.call_soon(work if turns == 1 else partial(after_turns, turns - 1, work))
+    loop.call_soon(work if turns == 1 else partial(call_after_iterations, turns - 1, work))
 
 
-class SilentTest(unittest.TestCase):
+class SilentEndpointTest(unittest.TestCase):
     """Half of all notes are lost for as long as one endpoint takes requests and answers none.
 
     A note may be written once only, so it waits for its answer to the end of its time. Nothing is
--- a/tests/relay/test_early.py
+++ b/tests/relay/test_early.py
@@ -42,7 +42,7 @@
     out on that connection while the rest of the first body is still due.
     """
 
-    def test_the_next_request_never_stands_where_a_body_is_due(self):
+    def test_the_next_request_is_never_read_as_the_rest_of_a_body(self):
         async def check():
             endpoint = EarlyEndpoint()
             server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
--- a/tests/relay/test_events.py
+++ b/tests/relay/test_events.py
@@ -23,7 +23,7 @@
     """
 
     @given(st.lists(st.integers(0, len(STREAM)), max_size=20))
-    def test_any_borders_give_the_same_events(self, cuts):
+    def test_any_chunk_boundaries_give_the_same_events(self, cuts):
         edges = [0, *sorted(cuts), len(STREAM)]
         found, partial = split(STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False))
         self.assertEqual(list(range(1, 9)), [event.id for event in found])
@@ -31,7 +31,7 @@
         self.assertEqual(b"", partial)
 
     @given(st.integers(1, len(STREAM) - 1))
-    def test_a_cut_event_stays_behind(self, cut):
+    def test_an_incomplete_event_is_kept_back(self, cut):
         found, partial = split([STREAM[:cut]])
         self.assertEqual(STREAM[:cut], b"".join(event.raw for event in found) + partial)
         self.assertTrue(all(event.raw.endswith(b"\n\n") for event in found))
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -17,7 +17,7 @@
 CFG = Settings("h1", "north", "http://unused", "a key of sixteen")
 COUNT = DescriptorCount(40, 4100)
 # Seconds of each turn of a host that is behind.
-TURN_SECONDS = 0.21
+ITERATION_SECONDS = 0.21
 
 
 def run(work):
@@ -57,7 +57,7 @@
         turns.begin(None)
         self.assertAlmostEqual(0.0, turns.lag(), msg="the last second only")
 
-    def test_a_loop_that_is_held_shows_it(self):
+    def test_a_blocked_loop_shows_lag(self):
         async def check():
             loop = asyncio.get_running_loop()
             loop.call_soon(time.sleep, 0.15)
@@ -68,19 +68,19 @@
         self.assertGreaterEqual(run(check()), 0.15)
 
 
-class WatchTest(unittest.TestCase):
+class HostMonitorTest(unittest.TestCase):
     """An operator looks for why callers of one host wait, and finds nothing.
 
     The host's loop is seconds behind: all it logs is as usual, only later.
     """
 
-    def watch(self, count=COUNT):
+    def make_monitor(self, count=COUNT):
         clock = FakeClock()
         ctx = build_context(CFG, clock)
         turns = Turns(clock.monotonic)
         return clock, ctx, turns, HostMonitor(ctx, turns, lambda: 7, lambda: count)
 
-    def hold(self, clock, turns, seconds):
+    def run_late_iteration(self, clock, turns, seconds):
         turns.end()
         turns.begin(0)
         clock.time += seconds
@@ -92,12 +92,12 @@
         clock.time += seconds
         turns.begin(seconds)
 
-    def test_a_host_behind_says_so_and_not_too_often(self):
-        clock, ctx, turns, watch = self.watch()
+    def test_a_late_loop_is_logged_at_most_every_five_seconds(self):
+        clock, ctx, turns, monitor = self.make_monitor()
         for _ in range(12):
-            self.hold(clock, turns, 1.0)
+            self.run_late_iteration(clock, turns, 1.0)
             turns.accepted += 30
-            asyncio.run(watch.check())
+            asyncio.run(monitor.check())
         lines = [event.detail for event in ctx.timeline.select(Filter()) if "behind" in event.name]
         self.assertEqual(3, len(lines), "one each five seconds")
         self.assertEqual(
@@ -108,23 +108,23 @@
         turns.end()
         clock.time += 3.0
         turns.begin(None)
-        asyncio.run(watch.check())
+        asyncio.run(monitor.check())
         self.assertEqual("loop_caught_up", ctx.timeline.select(Filter())[-1].name)
 
     def test_metrics_show_the_same(self):
-        clock, ctx, turns, watch = self.watch()
-        self.hold(clock, turns, 0.5)
+        clock, ctx, turns, monitor = self.make_monitor()
+        self.run_late_iteration(clock, turns, 0.5)
         turns.accepted = 3
-        asyncio.run(watch.check())
+        asyncio.run(monitor.check())
         text = ctx.metrics.render().decode()
         self.assertIn("peridotdock_loop_lag_seconds 0.5", text)
         self.assertIn("peridotdock_accepted_total 3.0", text)
         self.assertIn('peridotdock_descriptors{state="open"} 40.0', text)
         self.assertIn("peridotdock_late_answers_total 0.0", text)
 
-    def test_a_system_that_does_not_tell_is_no_fault(self):
-        _, ctx, _, watch = self.watch(count=None)
-        asyncio.run(watch.check())
+    def test_an_unknown_descriptor_count_is_no_fault(self):
+        _, ctx, _, monitor = self.make_monitor(count=None)
+        asyncio.run(monitor.check())
         self.assertEqual([], ctx.timeline.select(Filter()))
 
     def test_a_host_in_trouble_is_looked_at_more_often(self):
@@ -132,14 +132,14 @@
 
         Its calm shows two seconds after its last long turn, and was looked for once a second.
         """
-        _, _, _, watch = self.watch()
-        usual = watch.check_interval()
-        watch.count = lambda: DescriptorCount(4090, 4100)
-        asyncio.run(watch.check())
-        self.assertLessEqual(watch.check_interval(), usual / 4)
-        watch.count = lambda: COUNT
-        asyncio.run(watch.check())
-        self.assertEqual(usual, watch.check_interval())
+        _, _, _, monitor = self.make_monitor()
+        usual = monitor.check_interval()
+        monitor.count = lambda: DescriptorCount(4090, 4100)
+        asyncio.run(monitor.check())
+        self.assertLessEqual(monitor.check_interval(), usual / 4)
+        monitor.count = lambda: COUNT
+        asyncio.run(monitor.check())
+        self.assertEqual(usual, monitor.check_interval())
 
     @params(0.0, 0.3, 0.6, 0.9)
     def test_a_host_is_found_behind_in_the_time_it_is_allowed(self, phase):
@@ -148,16 +148,18 @@
         It got behind right after a look, and the time was counted from the next one, a second
         later; then it was looked at once a second, with a jitter of a tenth.
         """
-        clock, _, turns, watch = self.watch()
-        asyncio.run(watch.check())
-        due = clock.time + 1.1 * watch.check_interval()
+        clock, _, turns, monitor = self.make_monitor()
+        asyncio.run(monitor.check())
+        due = clock.time + 1.1 * monitor.check_interval()
         self.wait(clock, turns, phase)
         began = clock.time
-        while watch.trouble is None:
-            self.hold(clock, turns, TURN_SECONDS)
+        while monitor.trouble is None:
+            self.run_late_iteration(clock, turns, ITERATION_SECONDS)
             if clock.time >= due:
-                asyncio.run(watch.check())
-                due = clock.time + 1.1 * watch.check_interval()
+                asyncio.run(monitor.check())
+                due = clock.time + 1.1 * monitor.check_interval()
         found = clock.time - began
         self.assertGreaterEqual(found, UNREADY_SECONDS)
-        self.assertLessEqual(found, UNREADY_SECONDS + 1.1 * OVERLOADED_CHECK_SECONDS + TURN_SECONDS)
+        self.assertLessEqual(
+            found, UNREADY_SECONDS + 1.1 * OVERLOADED_CHECK_SECONDS + ITERATION_SECONDS
+        )
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -29,21 +29,21 @@
 
 
 class BadRowTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_follower_survives_rows_that_cannot_be_taken_in(self):
+    async def test_a_follower_survives_rows_that_cannot_be_applied(self):
         """Requests reach an endpoint that left, on all hosts and for good.
 
         Another writer put a row of an odd shape into the table. Taking it in raised "unhashable
         type: 'list'", which ended the task that follows the store, without a log line.
         """
-        clock, taken = FakeClock(), []
+        clock, applied = FakeClock(), []
         tables = FlakyTables(clock)
 
-        def take(rows, whole):
-            taken.append(rows)
+        def apply_rows(rows, whole):
+            applied.append(rows)
             if "bad" in rows:
                 raise TypeError("unhashable type: 'list'")
 
-        follower = Follower(make_ctx(clock), tables, "t", take, lambda: 0.0)
+        follower = Follower(make_ctx(clock), tables, "t", apply_rows, lambda: 0.0)
         task = asyncio.ensure_future(follower.run())
         for key in ("bad", "good"):
             tables.change(key, b"x")
@@ -51,23 +51,23 @@
                 await settle()
                 clock.advance(TICK)
         self.assertFalse(task.done())
-        self.assertTrue(any("good" in rows for rows in taken))
+        self.assertTrue(any("good" in rows for rows in applied))
         task.cancel()
 
-    async def test_a_word_that_cannot_be_taken_in_is_asked_for(self):
+    async def test_an_update_that_cannot_be_applied_is_fetched_again(self):
         clock = FakeClock()
 
-        def take(rows, whole):
+        def apply_rows(rows, whole):
             raise TypeError("unhashable type: 'list'")
 
-        follower = Follower(make_ctx(clock), FlakyTables(clock), "t", take, lambda: 0.0)
+        follower = Follower(make_ctx(clock), FlakyTables(clock), "t", apply_rows, lambda: 0.0)
         follower._version = 1
         self.assertTrue(follower.feed(Rows("rows", "t", "reader", 1, 1, 2, {"bad": b"x"})))
         self.assertEqual(1, follower.version)
 
 
-class RestTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_host_does_not_rest_on_a_gap_that_it_knows_of(self):
+class KnownGapTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_host_with_a_known_gap_keeps_fetching(self):
         """A host goes on by an old configuration though it has heard of a newer one.
 
         An older answer of another host, or the word of one that read before, passed for proof that
@@ -114,8 +114,8 @@
         step.cancel()
 
 
-class ForgottenTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_reader_tells_the_whole_table_when_the_history_was_dropped(self):
+class DroppedHistoryTest(unittest.IsolatedAsyncioTestCase):
+    async def test_the_reader_publishes_the_whole_table_after_the_history_was_dropped(self):
         """All hosts ask the store at once after it dropped its history."""
         clock = FakeClock()
         wire, stored = Wire(clock, 0.1), Stored()
@@ -175,36 +175,36 @@
         self.assertTrue(lease.holds())
 
 
-class OldWordTest(unittest.IsolatedAsyncioTestCase):
+class StaleFactTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.clock = FakeClock()
-        self.near, self.far = Board("h1", 1, self.clock), Board("h2", 1, self.clock)
+        self.own_board, self.other_board = Board("h1", 1, self.clock), Board("h2", 1, self.clock)
 
-    async def test_the_word_of_a_dead_host_on_endpoints_ends_with_it(self):
+    async def test_unreachable_reports_of_a_dead_host_expire_with_it(self):
         """An engine gets no order for two minutes: a host that died could not connect to it."""
-        members = Membership(self.near, host_fact("h1"), self.clock)
+        members = Membership(self.own_board, host_fact("h1"), self.clock)
         members.beat()
-        self.far.publish("host", host_fact("h2"))
-        self.far.publish("wants", WantsFact({}, ["e1"]))
-        self.near.merge(facts_of(self.far))
-        peers = SimpleNamespace(membership=members, board=self.near)
+        self.other_board.publish("host", host_fact("h2"))
+        self.other_board.publish("wants", WantsFact({}, ["e1"]))
+        self.own_board.merge(facts_of(self.other_board))
+        peers = SimpleNamespace(membership=members, board=self.own_board)
         self.assertEqual({"e1"}, Peers.down(peers))
         self.clock.advance(5.0)
         members.beat()
         self.assertEqual(set(), Peers.down(peers))
 
-    async def test_news_of_engines_is_as_old_as_it_is(self):
+    async def test_engine_news_keeps_its_age(self):
         """Requests wait for a model that should have been there half a minute ago.
 
         The word "coming in 2.0 s" came late, by way of a third host, and counted as just said.
         """
         fleet = RelayFleet("north", self.clock)
         fleet.replace([EndpointEntry("e1", "s", "1:1", "north", 1, False)])
-        self.far.publish("orders", OrdersFact(3, [EngineNews("e1", [], [], {"m": 2.0})]))
-        known = self.far.get("h2", "orders")
-        self.near.merge([replace(known.entry, age=30_000)])
+        self.other_board.publish("orders", OrdersFact(3, [EngineNews("e1", [], [], {"m": 2.0})]))
+        known = self.other_board.get("h2", "orders")
+        self.own_board.merge([replace(known.entry, age=30_000)])
         peers = SimpleNamespace(
-            board=self.near,
+            board=self.own_board,
             _leader="h2",
             _fleet=fleet,
             on_term=lambda term: None,
@@ -235,9 +235,9 @@
             await found.until(lambda: len(rounds) > 1, seconds=3.0)
 
 
-class ChosenBeforeTest(unittest.TestCase):
+class DrainRaceTest(unittest.TestCase):
     @run
-    async def test_a_request_that_was_chosen_before_the_word_is_not_sent_after_it(self):
+    async def test_a_request_placed_before_a_drain_notice_is_not_sent_after_it(self):
         """A request reaches an endpoint 2.6 s after its word that it leaves, where 2.0 are allowed.
 
         The endpoint was chosen just before the word came; the connection to it took a while, as an
@@ -269,7 +269,7 @@
             self.assertEqual([], found.pages[chosen].seen)
 
 
-class AgainTest(unittest.TestCase):
+class StoreRetryTest(unittest.TestCase):
     def test_a_store_that_refuses_is_not_asked_again_at_once(self):
         """A store that turns all hosts away gets two calls a host within 0.03 s."""
         self.assertEqual(0.0, wait_after(1, lost=True))
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -49,21 +49,21 @@
         self.hosts = {name: HostQuotas(self.tolerance) for name in range(hosts)}
         self.groups = [list(self.hosts)]
         self.hubs = {}
-        self.words = {}
-        self.told = {}
+        self.low_facts = {}
+        self.last_published = {}
         self.usages = {}
         self.epochs = dict.fromkeys(self.hosts, 1)
         self.silent_until = float("-inf")
         self.served, self.refused = [], 0
-        self.events, self.number = [], itertools.count()
+        self.events, self.sequence = [], itertools.count()
 
     def at(self, time, work, *args):
-        heapq.heappush(self.events, (time, next(self.number), work, args))
+        heapq.heappush(self.events, (time, next(self.sequence), work, args))
 
     def play(self, seconds, warm=10.0):
         """Play so many seconds from time 0, after all have run for a while without requests."""
-        self.at(-warm, self._tell)
-        self.at(0.0, self._come)
+        self.at(-warm, self._publish)
+        self.at(0.0, self._arrive)
         while self.events and self.events[0][0] < seconds:
             self.now, _, work, args = heapq.heappop(self.events)
             work(*args)
@@ -76,32 +76,32 @@
         """The buckets of a hub; a new one begins with the last word that it has heard."""
         if name not in self.hubs:
             hub = self.hubs[name] = HubQuotas(self.tolerance)
-            hub.start({"w": self.quota}, self.words.get("last"), self._share(name), self.now)
-            self.words[name] = dict(self.words.get("last") or {})
+            hub.start({"w": self.quota}, self.low_facts.get("last"), self._share(name), self.now)
+            self.low_facts[name] = dict(self.low_facts.get("last") or {})
         return self.hubs[name]
 
     def _share(self, hub):
         group = next(group for group in self.groups if hub in group)
         return host_share(len(group), len(self.hosts), OVER)
 
-    def _tell(self):
-        self.at(self.now + 0.2, self._tell)
+    def _publish(self):
+        self.at(self.now + 0.2, self._publish)
         if self.now < self.silent_until:
             return
         for host, quotas in self.hosts.items():
             usage = quotas.usage({"w": self.quota})
             if usage is not None:
                 self.usages[host] = self.epochs[host], usage, self.now
-        self.at(self.now + self.lag / 2, self._note)
+        self.at(self.now + self.lag / 2, self._merge_usage)
         for group in self.groups:
             hub = self._hub(group[0])
             low = hub.low({"w": self.quota}, self._share(group[0]), self.now)
-            told = self.told.get(group[0], (-math.inf, None))
-            if low != told[1] or self.now - told[0] >= LOW_REPUBLISH_SECONDS:
-                self.told[group[0]] = self.now, low
-                self.at(self.now + self.lag / 2, self._hear, group[0], low)
+            published = self.last_published.get(group[0], (-math.inf, None))
+            if low != published[1] or self.now - published[0] >= LOW_REPUBLISH_SECONDS:
+                self.last_published[group[0]] = self.now, low
+                self.at(self.now + self.lag / 2, self._receive, group[0], low)
 
-    def _note(self):
+    def _merge_usage(self):
         """Each hub takes in what is known of the hosts that it reaches, as old as it is."""
         for host, (epoch, usage, at) in self.usages.items():
             if host in self.hosts:
@@ -109,15 +109,15 @@
                 share, age = self._share(hub), self.now - at
                 self._hub(hub).note_usage(host, epoch, usage, quotas, share, self.now, age)
 
-    def _hear(self, hub, low):
-        self.words[hub] = self.words["last"] = low
+    def _receive(self, hub, low):
+        self.low_facts[hub] = self.low_facts["last"] = low
         for host, quotas in self.hosts.items():
             if self.hub_of(host) == hub:
                 quotas.hear(low)
 
-    def _come(self):
+    def _arrive(self):
         rate = max(0.01, self.load(self.now)) * self.quota.rate / COST[self.quota]
-        self.at(self.now + self.rng.expovariate(rate), self._come)
+        self.at(self.now + self.rng.expovariate(rate), self._arrive)
         host = self.rng.choice(list(self.hosts))
         if self._admit(host, self.hosts[host], self.hub_of(host), COST[self.quota]) == 0:
             self.served.append((self.now, COST[self.quota]))
@@ -125,7 +125,7 @@
             self.refused += 1
 
     def _admit(self, host, quotas, hub, cost):
-        quotas.hear(self.words.get(hub))
+        quotas.hear(self.low_facts.get(hub))
         if not quotas.must_ask("w"):
             quotas.count("w", cost)
             return 0.0
@@ -140,16 +140,16 @@
         self.silent_until = self.now + seconds
         lost = self.groups[0].pop(0)
         del self.hosts[lost]
-        self.words.pop(lost, None)
+        self.low_facts.pop(lost, None)
 
-    def kill_all(self, seconds):
+    def restart_all(self, seconds):
         """All hosts start again and know nothing."""
         self.hosts = {name: HostQuotas(self.tolerance) for name in self.hosts}
         self.epochs = {name: epoch + 1 for name, epoch in self.epochs.items()}
-        self.hubs, self.words, self.told, self.usages = {}, {}, {}, {}
+        self.hubs, self.low_facts, self.last_published, self.usages = {}, {}, {}, {}
         self.silent_until = self.now + seconds
 
-    def cut(self, seconds):
+    def partition(self, seconds):
         """A third of the hosts can't be reached by the others."""
         [whole] = self.groups
         third = len(whole) // 3
@@ -160,7 +160,7 @@
         self.groups = [whole]
         self.hubs = {whole[0]: self.hubs[whole[0]]}
 
-    def most(self):
+    def max_in_window(self):
         """The most units that were served in a window."""
         best = total = first = 0
         for time, cost in self.served:
@@ -179,7 +179,7 @@
         return sum(cost for _, cost in self.served)
 
 
-def hot(now):
+def overload(now):
     """Usual load, then seven and a half times as much."""
     return 0.6 if now < 6 or now > 18 else 4.5
 
@@ -191,19 +191,19 @@
     "hubs lost in turn": lambda world: [
         world.at(6.0 + 2.5 * n, world.lose_hub, 1.2) for n in range(4)
     ],
-    "all killed while it is hot": lambda world: world.at(9.0, world.kill_all, 1.0),
-    "all killed as it grows hot": lambda world: world.at(6.2, world.kill_all, 1.0),
-    "cut in two": lambda world: world.at(8.0, world.cut, 5.0),
+    "all killed while it is hot": lambda world: world.at(9.0, world.restart_all, 1.0),
+    "all killed as it grows hot": lambda world: world.at(6.2, world.restart_all, 1.0),
+    "cut in two": lambda world: world.at(8.0, world.partition, 5.0),
 }
 
 
 class BoundTest(unittest.TestCase):
     @params(*itertools.product((TOKENS, REQUESTS), FAULTS, (1, 2)))
     def test_no_window_holds_more_than_the_quota(self, quota, fault, seed):
-        world = World(quota, hot, seed=seed)
+        world = World(quota, overload, seed=seed)
         FAULTS[fault](world)
         world.play(24.0)
-        self.assertLessEqual(world.most(), world.bound())
+        self.assertLessEqual(world.max_in_window(), world.bound())
 
     @params(TOKENS, REQUESTS)
     def test_a_hot_workspace_gets_what_it_may_have(self, quota):
@@ -271,7 +271,7 @@
 
 class HostTest(unittest.TestCase):
     @run
-    async def test_what_goes_beyond_the_quota_gets_429_and_a_time(self):
+    async def test_requests_over_quota_get_429_and_retry_after(self):
         """One workspace takes all engines, or is told to come back at a time that is not true."""
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
@@ -290,7 +290,7 @@
             self.assertEqual(200, status)
 
     @run
-    async def test_who_comes_back_at_the_time_told_is_served(self):
+    async def test_retry_after_the_given_time_is_served(self):
         limit = {"rate_per_s": 20, "burst": 5}
         async with Deployment() as found:
             await configure(found, 2, [RIVER | limit])
@@ -317,7 +317,7 @@
             self.assertEqual(0.0, sum(quotas._own._totals.values()))
 
     @run
-    async def test_a_hub_that_gives_no_word_on_quotas_is_logged(self):
+    async def test_a_hub_that_does_not_reply_on_quotas_is_logged(self):
         """Callers get 429 by a host's own share, and no line tells that the hub was silent."""
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -28,7 +28,7 @@
 WINDOW = 4.0
 
 
-class WordTest(unittest.TestCase):
+class AnnouncedLimitTest(unittest.TestCase):
     @params(
         ({}, math.inf),
         ({"server-limit": "1.1"}, 1.1),
@@ -50,7 +50,7 @@
         ("an answer that was overtaken ends nothing", [(2.0, 1.0, 1.1), (math.inf, 1.0, 1.3)], 2.0),
         ("what can't be read changes nothing", [(2.0, 1.0, 1.1), (None, 1.2, 1.3)], 2.0),
     )
-    def test_words_that_come_one_after_the_other(self, name, words, expected):
+    def test_successive_limit_announcements(self, name, words, expected):
         state = EndpointState(ENTRY, Health())
         for rate, sent, now in words:
             state.note_limit(rate, sent, now)
@@ -64,34 +64,34 @@
     hosts are cut into, each with a hub of its own.
     """
 
-    def __init__(self, limit, asked, seed, groups=1):
-        self.limit, self.asked = limit, asked
+    def __init__(self, limit, request_rate, seed, groups=1):
+        self.limit, self.request_rate = limit, request_rate
         self.rng = random.Random(seed)
         self.hubs = [Permits() for _ in range(groups)]
-        self.old = []
+        self.old_hubs = []
         self.arrivals, self.denied = [], 0
 
     def lose_hub(self, overlap):
         """All hosts go over to a new hub, each at some moment within ``overlap`` seconds."""
-        self.old, self.hubs = self.hubs, [Permits() for _ in self.hubs]
+        self.old_hubs, self.hubs = self.hubs, [Permits() for _ in self.hubs]
         self.lost_at, self.overlap = self.now, overlap
 
     def play(self, seconds, events=()):
         self.now, events = 0.0, list(events)
         while self.now < seconds:
-            self.now += self.rng.expovariate(self.asked)
+            self.now += self.rng.expovariate(self.request_rate)
             while events and events[0][0] <= self.now:
                 events.pop(0)[1](self)
-            self.come()
+            self.arrive()
         return self
 
-    def come(self):
+    def arrive(self):
         hubs = self.hubs
-        if self.old and self.rng.random() > (self.now - self.lost_at) / self.overlap:
-            hubs = self.old
+        if self.old_hubs and self.rng.random() > (self.now - self.lost_at) / self.overlap:
+            hubs = self.old_hubs
         hub = self.rng.choice(hubs)
-        stays = self.rng.choice((0.0, 0.5, 2.0))
-        permit = hub.take(START, self.limit(self.now) / len(hubs), stays, self.now)
+        max_wait = self.rng.choice((0.0, 0.5, 2.0))
+        permit = hub.take(START, self.limit(self.now) / len(hubs), max_wait, self.now)
         if permit.given:
             self.arrivals.append(self.now + permit.wait + self.rng.random() * 0.03)
         self.denied += not permit.given
@@ -141,7 +141,7 @@
         world = World(lambda now: 0.0, 5.0, 1).play(60.0)
         self.assertGreater(len(world.arrivals), 5)
 
-    def test_who_comes_back_at_the_time_told_gets_a_permit(self):
+    def test_retry_after_the_given_time_gets_a_permit(self):
         permits = Permits()
         permits.take(START, 1.0, 0.0, 0.0)
         denied = permits.take(START, 1.0, 0.0, 10.0), permits.take(START, 1.0, 0.0, 10.0)
@@ -149,7 +149,7 @@
         wait = retry_after(denied[1].wait, lambda: 0.0)
         self.assertTrue(permits.take(START, 1.0, 0.0, 10.0 + wait).given)
 
-    def test_the_word_of_a_start_before_does_not_bind(self):
+    def test_a_limit_of_a_previous_start_does_not_apply(self):
         known = EndpointState(ENTRY, Health())
         known.note_limit(1.0, 1.0, 1.1)
         self.assertFalse(next_start(known, replace(ENTRY, started_ms=7)).limited)
@@ -172,7 +172,7 @@
         permits, pacer, granted, denied, now = Permits(), Pacer(random.Random(1)), [], 0, 0.0
         work = Work(900, 0, 0.00002, 0.5)
 
-        def look(ask):
+        def candidates(ask):
             wait = permits.wait(START, 1.0, now)
             return [Candidate("e1", 0.0, 0, 8, 0, False, 1.0, True, False, wait, 1.0)]
 
@@ -180,7 +180,7 @@
             now = step * 0.01
             if step % 20 == 0:
                 pacer.add(PromptAsk(step, "m0", work, 0, now + 0.5, now + 2.0))
-            decided, _ = pacer.pump(now, PaceLimit(0.0, math.inf), look)
+            decided, _ = pacer.pump(now, PaceLimit(0.0, math.inf), candidates)
             for row in decided:
                 if isinstance(row, Denial):
                     denied += 1
@@ -212,11 +212,11 @@
     loop, tasks = asyncio.get_running_loop(), []
 
     async def ask(number):
-        began = loop.time()
+        started_at = loop.time()
         status, headers, _ = await found.ask(
             path, f"{path}{number}", model=model, to=number % len(found.hosts)
         )
-        return status, headers, loop.time() - began
+        return status, headers, loop.time() - started_at
 
     for number in range(int(seconds / gap)):
         tasks.append(asyncio.ensure_future(ask(number)))
@@ -232,9 +232,11 @@
         async with Deployment(hosts=3, engines=engines, pages=("p1", "p2")) as found:
             limited, other = getattr(found, service).values()
             limited.says = {"server-limit": "1.0"}
-            named = asyncio.get_running_loop().time()
+            announced_at = asyncio.get_running_loop().time()
             answers = await burst(found, path, model, 5.0)
-            self.assertLessEqual(most_in_window(limited.calls, named + 1.0), 1.5 * WINDOW + 5)
+            self.assertLessEqual(
+                most_in_window(limited.calls, announced_at + 1.0), 1.5 * WINDOW + 5
+            )
             self.assertEqual({200}, {status for status, _, _ in answers})
             self.assertGreater(len(other.calls), 60)
 
@@ -282,7 +284,7 @@
             self.assertEqual({200}, {status for status, _, _ in answers})
 
     @run
-    async def test_hosts_tell_nothing_of_endpoints_without_a_limit(self):
+    async def test_hosts_publish_nothing_about_endpoints_without_a_limit(self):
         """Each answer of each endpoint is news for all hosts, and their links are full of it."""
         async with Deployment(hosts=2) as found:
             await burst(found, "/fetch/", "", 0.5)
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -28,14 +28,14 @@
     return [headers["x-attempt-id"] for _, _, headers, _ in runner.seen]
 
 
-class LackTest(unittest.TestCase):
+class MissingItemTest(unittest.TestCase):
     def state(self):
         held = {"m0": LoadedModel(1, frozenset({"a1"}))}
         return EndpointState(
             EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, held), Health()
         )
 
-    def hear(self, state, items, at):
+    def receive_news(self, state, items, at):
         news = EngineNews("e1", [*items], [], {})
         state.take_news(HeardNews(news, frozenset(items), at))
 
@@ -47,14 +47,12 @@
         ("news that knows", 0.5, ({"m0"},), False),
         ("news that it has come since", 0.5, ({"m0"}, ITEMS), True),
     )
-    def test_an_endpoints_own_word_goes_before_what_was_heard_of_it(
-        self, name, later, heard, expected
-    ):
+    def test_a_refusal_overrides_older_news_of_the_endpoint(self, name, later, heard, expected):
         state = self.state()
         self.assertTrue(state.holds(WISH, 10.0))
         state.note_lack(WISH, 10.0)
         for items in heard:
-            self.hear(state, items, 10.0 + later)
+            self.receive_news(state, items, 10.0 + later)
         self.assertEqual(expected, state.holds(WISH, 10.0 + later), name)
 
     def test_an_entry_that_knows_lets_the_next_one_count(self):
@@ -68,7 +66,7 @@
         self.assertTrue(state.holds(WISH, 10.1))
 
     @run
-    async def test_what_an_endpoint_lacks_is_waited_for(self):
+    async def test_a_request_waits_for_a_missing_item(self):
         """A caller is told to come back though its model is there in a quarter of a second.
 
         An adapter was dropped, and the entry that says so is still on its way. The request went to
@@ -92,7 +90,7 @@
             self.assertEqual(["a1"] * 2, attempts(runner), runner.orders)
 
     @run
-    async def test_what_an_endpoint_lacks_is_not_held_against_its_health(self):
+    async def test_a_missing_item_does_not_count_against_health(self):
         """An endpoint gets nothing for seconds: some requests asked it for what it had dropped."""
         async with Deployment() as found:
             host = found.hosts[0]
@@ -104,7 +102,7 @@
                 self.assertEqual(suspect, state.health.suspect(host.ctx.clock.monotonic()), kind)
 
 
-class PlaceTest(unittest.TestCase):
+class BackoffTest(unittest.TestCase):
     @params((1, 1.0), (2, 2.0), (3, 4.0))
     def test_waits_double(self, refusals, factor):
         draws = random.Random(1)
@@ -118,7 +116,7 @@
         self.assertAlmostEqual(expected, backoff_seconds(5, left, lambda: 0.5))
 
     @run
-    async def test_a_place_that_is_taken_for_a_moment_is_waited_for(self):
+    async def test_a_short_refusal_is_retried_after_a_backoff(self):
         """Brokers are told to come back, though a place was free forty milliseconds later.
 
         A burst fills the only endpoint of a service. A refused request went there again at once.
@@ -200,12 +198,12 @@
         timeline = SimpleNamespace(add=lambda *_, **fields: events.append(fields["detail"]))
         ctx = SimpleNamespace(clock=clock, metrics=metrics, timeline=timeline)
         route = SimpleNamespace(name="recap", longest_pause=limit)
-        watch = PauseTracker(SimpleNamespace(ctx=ctx), SimpleNamespace(route=route, id="a1"))
+        tracker = PauseTracker(SimpleNamespace(ctx=ctx), SimpleNamespace(route=route, id="a1"))
         state = EndpointState(EndpointEntry("e1", "s", "1:1", "north", 8, False), Health())
-        watch.note(state, 0)
+        tracker.note(state, 0)
         for number, wait in enumerate(waits, 1):
             clock.advance(wait)
-            watch.note(state, number)
-        watch.report(state)
+            tracker.note(state, number)
+        tracker.report(state)
         self.assertAlmostEqual(longest, observed[0], msg=name)
         self.assertEqual(told, [detail.partition(",")[0] for detail in events], name)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -27,7 +27,7 @@
     return [int(found) for found in re.findall(rb"id: (\d+)", body)]
 
 
-class WholeAnswersTest(unittest.TestCase):
+class CompleteAnswersTest(unittest.TestCase):
     @run
     async def test_a_request_reaches_its_runner_unchanged(self):
         async with Deployment() as found:
@@ -66,7 +66,7 @@
         ("foreign", 502, False),
         ("unsigned", 502, False),
     )
-    def test_not_run_is_said_only_when_it_is_true(self, step, expected, retry):
+    def test_not_run_is_reported_only_when_it_is_true(self, step, expected, retry):
         """A fleet gets two policies.
 
         A binding is sent, its runner is lost with the answer, and the caller is told "not run". It
@@ -185,7 +185,7 @@
             self.assertEqual(["a1"], ran)
 
     @run
-    async def test_a_caller_that_left_stops_its_run(self):
+    async def test_a_disconnected_caller_stops_its_run(self):
         """Runners work on for callers that have gone, while others wait.
 
         A caller closes its connection in the middle of a stream; its runner must see that within
@@ -206,7 +206,7 @@
             self.assertEqual([5, 6], ids(body))
 
 
-class PlacementTest(unittest.TestCase):
+class LoadOnDemandTest(unittest.TestCase):
     @params(("m1", "load", None), ("m0/a2", "load", "a2"))
     def test_what_no_engine_holds_is_loaded_and_waited_for(self, model, operation, adapter):
         @run
@@ -221,7 +221,7 @@
         check(self)
 
     @run
-    async def test_one_host_orders_and_the_others_wait_with_it(self):
+    async def test_one_host_orders_and_the_others_wait(self):
         async with Deployment(hosts=3) as found:
             await found.until(lambda: sum(h.leadership.holds() for h in found.hosts) == 1)
             await found.until(lambda: all(len(h.peers.membership.live()) == 3 for h in found.hosts))
@@ -251,7 +251,7 @@
 
 class FollowingTest(unittest.TestCase):
     @run
-    async def test_a_leaving_runner_gets_no_new_work(self):
+    async def test_a_draining_runner_gets_no_new_work(self):
         async with Deployment(pages=("p1", "p2")) as found:
             leaving = found.pages["p1"].entry("pages", state="draining")
             found.store.put("servers", "p1", leaving)
@@ -274,7 +274,7 @@
             self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
 
     @run
-    async def test_forgotten_history_is_made_good_by_reading_whole(self):
+    async def test_a_dropped_history_leads_to_a_full_read(self):
         async with Deployment() as found:
             found.store.faults["forget"] = 2
             found.configure(version=3)
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -19,14 +19,14 @@
 RIVER = {"name": "river", "api_keys": ["key-one", "key-two"], "priority": 0}
 HILL = {"name": "hill", "api_keys": ["key-three"]}
 OPEN = ROUTES[3] | {"name": "open", "prefix": "/open/", "public": True}
-TENANTS = {"tenants": [RIVER, HILL], "routes": [*ROUTES, OPEN]}
+WORKSPACE_CONFIG = {"tenants": [RIVER, HILL], "routes": [*ROUTES, OPEN]}
 
 
 def decode(**changes) -> DeploymentSpec:
-    return decode_deployment(json.dumps(CONFIG | TENANTS | changes).encode())
+    return decode_deployment(json.dumps(CONFIG | WORKSPACE_CONFIG | changes).encode())
 
 
-def head(key=NO_KEY):
+def make_head(key=NO_KEY):
     return RequestHead("a1", "shop.example", None, "", None, (), key=key)
 
 
@@ -71,13 +71,13 @@
     def test_a_bad_workspace_is_refused_with_the_configuration(self, tenants):
         self.assertEqual(Kind.MANIFEST_INVALID, decode(tenants=tenants).kind)
 
-    def test_hosts_are_told_digests_and_no_key(self):
+    def test_hosts_receive_key_digests_only(self):
         """A key in a frame between hosts could be read on the way."""
-        raw = json.dumps(CONFIG | TENANTS).encode()
-        told = hide_keys(raw)
-        self.assertNotIn(b"key-one", told)
-        self.assertEqual(hide_keys(told), told)
-        found = decode_deployment(told).workspaces
+        raw = json.dumps(CONFIG | WORKSPACE_CONFIG).encode()
+        redacted = hide_keys(raw)
+        self.assertNotIn(b"key-one", redacted)
+        self.assertEqual(hide_keys(redacted), redacted)
+        found = decode_deployment(redacted).workspaces
         self.assertEqual("river", found.find(digest_key("key-two")).name)
         self.assertIsNone(found.find(digest_key("key-nine")))
 
@@ -99,10 +99,10 @@
     )
     def test_identify(self, _, key, path, age, strict, expected):
         spec = decode()
-        bounds = Bounds(*vars_of(BOUNDS), revoke=5.0, revoke_strict=strict)
+        bounds = Bounds(*required_bounds(BOUNDS), revoke=5.0, revoke_strict=strict)
         digest = NO_KEY if key is None else digest_key(key)
         route = spec.match("shop.example", path)
-        found = Identifier(bounds, lambda: age).identify(spec, route, head(digest))
+        found = Identifier(bounds, lambda: age).identify(spec, route, make_head(digest))
         if isinstance(expected, Kind):
             self.assertEqual(expected, found.kind)
         else:
@@ -119,14 +119,14 @@
         self.assertEqual((None, rows), (found.workspace, found.headers))
 
 
-def vars_of(bounds):
+def required_bounds(bounds):
     """The bounds that every deployment sets."""
     return [getattr(bounds, name) for name in Bounds.__dataclass_fields__][:10]
 
 
 async def configure(found, version, tenants):
     """Put workspaces in force on the first host."""
-    found.configure(version=version, **(TENANTS | {"tenants": tenants}))
+    found.configure(version=version, **(WORKSPACE_CONFIG | {"tenants": tenants}))
     await found.until(lambda: found.hosts[0].front.deployment.version == version)
 
 
