--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -30,7 +30,7 @@
 from peridotdock.prefix import hash_blocks
 from peridotdock.publishing import check_all
 from peridotdock.rendezvous import Assignment
-from peridotdock.requests import Wish
+from peridotdock.requests import RoutingProfile
 from peridotdock.routing import choose
 from peridotdock.schema.messages import Entry, HeldFact, HostFact, LoadFact, Ping, Update
 from tests.fakes import FakeEngine
@@ -168,7 +168,7 @@
             state.remember(blocks[:5], now)
             for n in range(20):
                 state.began(f"r{n}", now, 500)
-        wish = Wish("m@1", 2000, blocks, 5, 0.49, "d0")
+        wish = RoutingProfile("m@1", 2000, blocks, 5, 0.49, "d0")
         say(
             "routing decision",
             candidates=count,
--- a/peridotdock/admin.py
+++ b/peridotdock/admin.py
@@ -113,7 +113,12 @@
             for name, row in sorted(members.items())
         ]
         missing = [
-            {"item": item.name, "want": item.copies, "ready": len(ready), "why": self._why(ready)}
+            {
+                "item": item.name,
+                "want": item.copies,
+                "ready": len(ready),
+                "why": self._explain_missing(ready),
+            }
             for item in accepted.items.values()
             if len(ready := self._host.fleet.holders(item.key)) < item.copies
         ]
@@ -124,7 +129,7 @@
         )
         return answer_json(body)
 
-    def _why(self, ready: list[Any]) -> str:
+    def _explain_missing(self, ready: list[Any]) -> str:
         if not self._host.planner.holder:
             return "no planner yet"
         if any(move.action == "load" for move in self._host.planner.plan.moves):
--- a/peridotdock/answers.py
+++ b/peridotdock/answers.py
@@ -13,7 +13,7 @@
 
 JSON = b"application/json"
 # Kinds after which the same request may be sent again at once, here or elsewhere.
-AGAIN = frozenset(
+RETRYABLE_KINDS = frozenset(
     {
         Kind.CALLER_LIMIT,
         Kind.OVERLOADED,
@@ -30,7 +30,7 @@
     }
 )
 # Kinds after which a request is refused wherever it goes: clients must not repeat it by themselves.
-IN_VAIN = frozenset({Kind.BLOCKED})
+NEVER_RETRYABLE_KINDS = frozenset({Kind.BLOCKED})
 
 
 def answer_json(body: Any, status: int = 200) -> Response:
@@ -44,19 +44,21 @@
     ``x-should-retry`` is read by the ``openai`` clients: without it they would send a request
     again that may have run and must not run twice.
     """
-    headers = [(b"x-request-id", request_id.encode()), (b"x-ran", ran_of(failure).encode())]
+    headers = [(b"x-request-id", request_id.encode()), (b"x-ran", reported_ran(failure).encode())]
     if failure.retry_after is not None:
         headers.append((b"retry-after", str(max(1, math.ceil(failure.retry_after))).encode()))
         milliseconds = str(max(1, math.ceil(failure.retry_after * 1000)))
         headers.append((b"retry-after-ms", milliseconds.encode()))
-    unkeyed = failure.answer.status >= 500 and not keyed
-    again = failure.kind in AGAIN or (unkeyed and failure.kind not in IN_VAIN)
-    headers.append((b"x-should-retry", b"true" if again else b"false"))
+    unkeyed_error = failure.answer.status >= 500 and not keyed
+    retryable = failure.kind in RETRYABLE_KINDS or (
+        unkeyed_error and failure.kind not in NEVER_RETRYABLE_KINDS
+    )
+    headers.append((b"x-should-retry", b"true" if retryable else b"false"))
     body = json.dumps(failure.describe(request_id)).encode()
     return Response(failure.answer.status, headers, Content(JSON, body))
 
 
-def ran_of(failure: Failure) -> Ran:
+def reported_ran(failure: Failure) -> Ran:
     """Return whether the request ran, as the caller is told."""
     return failure.ran or failure.answer.ran
 
@@ -67,10 +69,12 @@
     content_type = reply.content_type.encode("latin-1")
     if isinstance(reply.body, bytes):
         return Response(reply.status, headers, Content(content_type, reply.body))
-    return Response(reply.status, headers, StreamedContent(content_type, provide(reply.body)))
+    return Response(
+        reply.status, headers, StreamedContent(content_type, make_body_reader(reply.body))
+    )
 
 
-def provide(body: AsyncIterator[bytes]) -> Callable[[], AsyncIterator[bytes]]:
+def make_body_reader(body: AsyncIterator[bytes]) -> Callable[[], AsyncIterator[bytes]]:
     """Return the function from which blacksheep reads the parts of a body, once."""
 
     async def parts() -> AsyncIterator[bytes]:
--- a/peridotdock/averages.py
+++ b/peridotdock/averages.py
@@ -11,7 +11,7 @@
         self._at = 0.0
         self.value = 0.0
 
-    def look(self, value: float, now: float) -> float:
+    def update(self, value: float, now: float) -> float:
         """Take in what the quantity is now, and return its average."""
         share = 1 - math.exp(-(now - self._at) / self._seconds)
         self.value += share * (value - self.value)
--- a/peridotdock/claims.py
+++ b/peridotdock/claims.py
@@ -7,13 +7,13 @@
 from peridotdock.keys import KeyTable, Owner, read_owner
 
 KEY_PREFIX = "claims/"
-KEPT_SECONDS = 24 * 3600.0
+CLAIM_RETENTION_SECONDS = 24 * 3600.0
 SWEEP_SECONDS = 600.0
 ROWS_PER_SWEEP = 200
 PLATFORM_RETRY_SECONDS = 2.0
 
 
-def claim_row(caller: str, key: str) -> str:
+def claim_row_key(caller: str, key: str) -> str:
     """Return the name of a key's row; hashed, so that a key cannot choose its row."""
     return KEY_PREFIX + hashlib.sha256(f"{caller}\0{key}".encode()).hexdigest()
 
@@ -29,7 +29,7 @@
     named = read_owner(key)
     if named is not None:
         return named
-    row = claim_row(caller, key)
+    row = claim_row_key(caller, key)
     value = {"owner": incarnation, "period": table.period(), "at": int(now)}
     outcome = await commit_surely(platform, Transaction({row: 0}, {row: value}))
     if not failed(outcome):
@@ -51,10 +51,10 @@
     rows = await platform.scan(KEY_PREFIX)
     if failed(rows):
         return 0
-    old = [key for key, row in rows.items() if row.value["at"] < now - KEPT_SECONDS]
-    gone = old[:ROWS_PER_SWEEP]
-    if not gone:
+    expired = [key for key, row in rows.items() if row.value["at"] < now - CLAIM_RETENTION_SECONDS]
+    batch = expired[:ROWS_PER_SWEEP]
+    if not batch:
         return 0
-    checks = {key: rows[key].version for key in gone}
-    outcome = await commit_surely(platform, Transaction(checks, dict.fromkeys(gone)))
-    return 0 if failed(outcome) else len(gone)
+    checks = {key: rows[key].version for key in batch}
+    outcome = await commit_surely(platform, Transaction(checks, dict.fromkeys(batch)))
+    return 0 if failed(outcome) else len(batch)
--- a/peridotdock/clients/http.py
+++ b/peridotdock/clients/http.py
@@ -16,7 +16,7 @@
 
 import aiohttp
 
-from peridotdock.timeouts import TurnTimeout
+from peridotdock.timeouts import IterationTimeout
 
 CONNECT_SECONDS = 1.0
 # Turns of the loop from the one in which the system has made a connection to its first use.
@@ -124,7 +124,7 @@
         if timeout.sock_connect is None:
             conn = await super().connect(req, traces, timeout)
         else:
-            async with TurnTimeout(timeout.sock_connect, CONNECT_TURNS):
+            async with IterationTimeout(timeout.sock_connect, CONNECT_TURNS):
                 conn = await super().connect(req, traces, aiohttp.ClientTimeout(total=None))
         if STILL_WANTED.get()():
             return conn
--- a/peridotdock/context.py
+++ b/peridotdock/context.py
@@ -37,11 +37,11 @@
     metrics: Metrics
     incarnation: str
     epoch: int
-    off: frozenset[str]
+    disabled_decisions: frozenset[str]
 
-    def allows(self, decision: str) -> bool:
+    def decision_enabled(self, decision: str) -> bool:
         """Tell whether ``decision`` is switched on."""
-        return decision not in self.off
+        return decision not in self.disabled_decisions
 
 
 def build_context(
@@ -58,7 +58,7 @@
         metrics=Metrics(),
         incarnation=f"{cfg.host_id}-{rng.getrandbits(64):016x}",
         epoch=int(clock.now().timestamp() * 1000),
-        off=parse_policy(cfg.policy),
+        disabled_decisions=parse_policy(cfg.policy),
     )
 
 
--- a/peridotdock/core.py
+++ b/peridotdock/core.py
@@ -17,7 +17,7 @@
 from peridotdock.status import ExitStatus
 
 DRAIN_POLL_SECONDS = 0.05
-ANSWER_SECONDS = 0.1
+LAST_ANSWERS_SECONDS = 0.1
 
 
 class Daemon:
@@ -46,18 +46,20 @@
         long after it has left the answers. True when nothing had to be cut off.
         """
         clock, cfg = self.ctx.clock, self.ctx.cfg
-        began = clock.monotonic()
+        started_at = clock.monotonic()
         self.ctx.timeline.add("leaving")
         self.host.membership.become("leaving")
-        await self._wait(lambda: False, began + cfg.address_seconds)
+        await self._wait_until(lambda: False, started_at + cfg.address_seconds)
         self.host.membership.become("gone")
-        done = await self._wait(lambda: self.entry.in_work == 0, began + cfg.stop_seconds)
-        self.ctx.timeline.add("drained", detail=f"{clock.monotonic() - began:.1f} s")
+        done = await self._wait_until(
+            lambda: self.entry.in_flight == 0, started_at + cfg.stop_seconds
+        )
+        self.ctx.timeline.add("drained", detail=f"{clock.monotonic() - started_at:.1f} s")
         return done
 
-    async def _wait(self, done: Any, until: float) -> bool:
-        while not done():
-            if self.ctx.clock.monotonic() >= until:
+    async def _wait_until(self, condition: Any, deadline: float) -> bool:
+        while not condition():
+            if self.ctx.clock.monotonic() >= deadline:
                 return False
             await self.ctx.clock.sleep(DRAIN_POLL_SECONDS)
         return True
@@ -65,17 +67,17 @@
     async def stop(self) -> None:
         """Close everything."""
         await self.host.stop()
-        await self.ctx.clock.sleep(ANSWER_SECONDS)
+        await self.ctx.clock.sleep(LAST_ANSWERS_SECONDS)
         await self.server.stop()
 
 
 async def serve(cfg: Settings, streams: Streams) -> ExitStatus:
     """Run a daemon until it is told to stop. A second signal does not cut anything off either."""
     daemon = Daemon(build_context(cfg))
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop_requested.set)
     try:
         await daemon.start()
     except OSError as exc:
@@ -84,10 +86,10 @@
     streams.out.write(f"ready: {daemon.server.url}\n")
     streams.out.flush()
     gc.freeze()
-    await told.wait()
-    whole = await daemon.drain()
+    await stop_requested.wait()
+    drained = await daemon.drain()
     await daemon.stop()
-    return ExitStatus.OK if whole else ExitStatus.ERROR
+    return ExitStatus.OK if drained else ExitStatus.ERROR
 
 
 def run_daemon(
--- a/peridotdock/decisions/adapters.py
+++ b/peridotdock/decisions/adapters.py
@@ -38,7 +38,7 @@
             free = [
                 engine
                 for engine in open_bases(draft, model.name)
-                if count_adapters(engine) < draft.spec.adapter_places - KEPT_PLACES
+                if count_adapters(engine) < draft.spec.adapter_slots - KEPT_PLACES
             ]
             if not free:
                 break
@@ -62,7 +62,7 @@
     bases = open_bases(draft, model)
     if not bases:
         return
-    places = draft.spec.adapter_places
+    places = draft.spec.adapter_slots
     engine = min(bases, key=lambda e: (count_adapters(e) >= places, e.ahead, e.key))
     if count_adapters(engine) < places:
         draft.add(Step(engine.key, Action.LOAD, model, adapter, "asked for"))
--- a/peridotdock/decisions/copies.py
+++ b/peridotdock/decisions/copies.py
@@ -47,7 +47,7 @@
     holders = draft.holders(model)
     if not holders or len(holders) > len(draft.ready(model)):
         return False
-    seconds = draft.spec.models[model].load
+    seconds = draft.spec.models[model].load_seconds
     tokens = CROWDED_TOKENS + CROWDED_TOKENS_PER_SECOND * seconds
     queued = model_demand(draft, model).queued / len(holders)
     if queued + min(engine.ahead for engine in holders) >= tokens:
@@ -67,7 +67,7 @@
     if rate < SPARE_COPY_DEMAND:
         return 1
     adapters = sum(1 for asked in draft.adapter_demand.get(model, ()) if asked > ADAPTER_DEMAND)
-    by_places = -(-adapters // max(1, draft.spec.adapter_places))
+    by_places = -(-adapters // max(1, draft.spec.adapter_slots))
     return max(2, 1 + int(rate / COPY_DEMAND), by_places)
 
 
--- a/peridotdock/decisions/draft.py
+++ b/peridotdock/decisions/draft.py
@@ -184,7 +184,7 @@
         """
         sizes = {name: model.weights_mb for name, model in self.spec.models.items()}
         largest = max((model.adapter_mb for model in self.spec.models.values()), default=0.0)
-        room = self.spec.weights_mb - self.spec.adapter_places * largest
+        room = self.spec.weights_mb - self.spec.adapter_slots * largest
         return {
             key: room - sum(sizes.get(name, 0.0) for name in engine.staying())
             for key, engine in self.engines.items()
--- a/peridotdock/decisions/placing.py
+++ b/peridotdock/decisions/placing.py
@@ -132,7 +132,7 @@
         runs = engine.runs(victims[0])
         draft.add(Step(engine.key, Action.UNLOAD, victims[0], "", reason, model.name, runs))
         return True
-    if seconds >= model.load:
+    if seconds >= model.load_seconds:
         if draft.loads_left <= 0:
             return True
         draft.loads_left -= 1
@@ -169,5 +169,5 @@
 def load_seconds(engine: EngineView, model: Model) -> float:
     """Return how long an engine takes to load a model."""
     if model.name in engine.in_memory:
-        return model.from_memory
-    return model.from_disk if model.name in engine.on_disk else model.load
+        return model.memory_load_seconds
+    return model.disk_load_seconds if model.name in engine.on_disk else model.load_seconds
--- a/peridotdock/demand.py
+++ b/peridotdock/demand.py
@@ -10,7 +10,7 @@
 FAST_SECONDS = 3.0
 SLOW_SECONDS = 60.0
 PEAK_SECONDS = 30.0
-FORGET_BELOW = 1e-4
+MIN_RATE = 1e-4
 
 
 @dataclass
@@ -24,10 +24,10 @@
 
     def decay(self, now: float, peak_seconds: float = PEAK_SECONDS) -> None:
         """Carry the averages forward to ``now``."""
-        gone = max(0.0, now - self.at)
-        self.fast *= math.exp(-gone / FAST_SECONDS)
-        self.slow *= math.exp(-gone / SLOW_SECONDS)
-        self.peak = max(self.fast, self.peak * math.exp(-gone / peak_seconds))
+        elapsed = max(0.0, now - self.at)
+        self.fast *= math.exp(-elapsed / FAST_SECONDS)
+        self.slow *= math.exp(-elapsed / SLOW_SECONDS)
+        self.peak = max(self.fast, self.peak * math.exp(-elapsed / peak_seconds))
         self.at = now
 
     def add(self, work: float) -> None:
@@ -55,7 +55,7 @@
         found = {}
         for item, rate in self._rates.items():
             rate.decay(now, self._peak_seconds)
-            if rate.fast > FORGET_BELOW:
+            if rate.fast > MIN_RATE:
                 found[item] = round(rate.fast, 4)
         return found
 
@@ -63,5 +63,5 @@
         """Return the rate to plan for, by item; items without demand are left out."""
         for rate in self._rates.values():
             rate.decay(now, self._peak_seconds)
-        self._rates = {item: rate for item, rate in self._rates.items() if rate.peak > FORGET_BELOW}
+        self._rates = {item: rate for item, rate in self._rates.items() if rate.peak > MIN_RATE}
         return {item: round(max(r.peak, r.slow), 4) for item, r in self._rates.items()}
--- a/peridotdock/deployment.py
+++ b/peridotdock/deployment.py
@@ -46,7 +46,7 @@
     max_sends: int
     resumable: bool
     longest_pause: float
-    patience: float
+    stall_timeout: float
     public: bool = False
 
     @property
@@ -70,9 +70,9 @@
 
     name: str
     weights_mb: float
-    load: float
-    from_disk: float
-    from_memory: float
+    load_seconds: float
+    disk_load_seconds: float
+    memory_load_seconds: float
     adapters: int
     adapter_mb: float
 
@@ -83,7 +83,7 @@
 
     slots: int
     weights_mb: float
-    adapter_places: int
+    adapter_slots: int
     cache_tokens: int
     cache_token_bytes: float
     loads_per_second: float
@@ -106,7 +106,7 @@
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    idle: float = 15.0
+    idle_timeout: float = 15.0
 
 
 @dataclass(frozen=True)
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -14,22 +14,22 @@
 from peridotdock.fleet import EndpointState, Fleet
 from peridotdock.requests import (
     RETRY_KINDS,
-    Ask,
-    Caller,
+    ModelRequest,
+    CallerConnection,
     Loss,
     Reply,
-    State,
-    admit_maybe,
-    broke_off,
-    lose,
+    RequestState,
+    mark_maybe_ran,
+    connection_broke,
+    loss_failure,
 )
 from peridotdock.retries import MAX_SENDS, RetryBudget
-from peridotdock.routing import EVERY_DECISION, Choice, admit, choose
-from peridotdock.streams import SLICE_SECONDS, FrameUsage, Relay, read_head
+from peridotdock.routing import ROUTING_DECISIONS, Choice, admit, choose
+from peridotdock.streams import CHECK_INTERVAL_SECONDS, FrameUsage, StreamRelay, read_head
 
 EVENT_STREAM = "text/event-stream"
-TAKE_UP_SECONDS = 2.0
-READY = "the answer stands ready on the engine"
+FETCH_READY_SECONDS = 2.0
+ANSWER_READY = "the answer stands ready on the engine"
 T = TypeVar("T")
 
 
@@ -41,73 +41,73 @@
         self._blocklist = blocklist
         self._fleet = fleet
         self._endpoints = endpoints
-        self._using = EVERY_DECISION - ctx.off
+        self._decisions = ROUTING_DECISIONS - ctx.disabled_decisions
         self.budget = RetryBudget()
         self.demand = Demand()
 
-    async def run(self, ask: Ask, caller: Caller) -> Reply | Failure:
+    async def run(self, req: ModelRequest, caller: CallerConnection) -> Reply | Failure:
         """Answer a request for a model or adapter, or say why not."""
-        key = self._fleet.servable(ask.wish.item)
-        if key != ask.wish.item:
-            ask = replace(ask, wish=replace(ask.wish, item=key))
-        self._count_demand(ask)
-        maybe = False
+        key = self._fleet.servable(req.profile.item)
+        if key != req.profile.item:
+            req = replace(req, profile=replace(req.profile, item=key))
+        self._count_demand(req)
+        maybe_ran = False
         tried: set[str] = set()
         outcome: Reply | Failure = Failure(Kind.NO_ENDPOINT)
         for attempt in range(MAX_SENDS):
-            choice = self._choose(ask, tried, first=attempt == 0)
+            choice = self._choose(req, tried, first=attempt == 0)
             if failed(choice):
-                return admit_maybe(choice if attempt == 0 else outcome, maybe)
+                return mark_maybe_ran(choice if attempt == 0 else outcome, maybe_ran)
             if attempt == 0:
                 self.budget.deposit()
             elif not self.budget.take():
-                return admit_maybe(outcome, maybe)
+                return mark_maybe_ran(outcome, maybe_ran)
             tried.add(choice.state.name)
             self._ctx.metrics.sends.labels(str(attempt + 1)).inc()
-            outcome = await self._attempt(ask, choice, caller)
+            outcome = await self._attempt(req, choice, caller)
             if not failed(outcome):
                 return outcome
-            maybe = maybe or outcome.may_have_run
-            if broke_off(outcome):
-                self._blocklist.note_end(ask, choice.state.start)
-            self._note_loss(ask, choice.state, outcome)
-            if not self._may_retry(ask, outcome, maybe):
+            maybe_ran = maybe_ran or outcome.may_have_run
+            if connection_broke(outcome):
+                self._blocklist.note_end(req, choice.state.start)
+            self._record_failure(req, choice.state, outcome)
+            if not self._may_retry(req, outcome, maybe_ran):
                 break
-        return admit_maybe(outcome, maybe)
+        return mark_maybe_ran(outcome, maybe_ran)
 
-    def _count_demand(self, ask: Ask) -> None:
-        holders = self._fleet.holders(ask.wish.item)
+    def _count_demand(self, req: ModelRequest) -> None:
+        holders = self._fleet.holders(req.profile.item)
         load = holders[0].load if holders else None
         rate = load.prefill_rate if load else 10_000.0
         mean = min((state.mean_seconds for state in holders), default=0.3)
         limit = load.batch_limit if load else 8
-        work = ask.wish.tokens / max(1.0, rate) + mean / max(1, limit)
-        self.demand.add(ask.wish.item, work, self._ctx.clock.monotonic())
+        work = req.profile.tokens / max(1.0, rate) + mean / max(1, limit)
+        self.demand.add(req.profile.item, work, self._ctx.clock.monotonic())
 
-    def _choose(self, ask: Ask, tried: set[str], first: bool) -> Choice | Failure:
+    def _choose(self, req: ModelRequest, tried: set[str], first: bool) -> Choice | Failure:
         now = self._ctx.clock.monotonic()
-        if now >= ask.deadline:
-            return lose(State.ADMITTED, Loss.DEADLINE)
-        refusal = self._blocklist.refusal(ask)
+        if now >= req.deadline:
+            return loss_failure(RequestState.ADMITTED, Loss.DEADLINE)
+        refusal = self._blocklist.refusal(req)
         if refusal is not None:
             return refusal
-        holders = self._fleet.holders(ask.wish.item)
+        holders = self._fleet.holders(req.profile.item)
         fresh = [state for state in holders if state.name not in tried] or holders
-        choice = choose(fresh, ask.wish, now, self._ctx.rng, self._using)
+        choice = choose(fresh, req.profile, now, self._ctx.rng, self._decisions)
         if failed(choice):
             return choice
-        if first and self._ctx.allows("admission"):
-            refusal = admit(choice, ask.wish)
+        if first and self._ctx.decision_enabled("admission"):
+            refusal = admit(choice, req.profile)
             if refusal is not None:
                 return refusal
         return choice
 
-    def _may_retry(self, ask: Ask, outcome: Failure, maybe: bool) -> bool:
-        if not self._ctx.allows("retries") or outcome.kind not in RETRY_KINDS:
+    def _may_retry(self, req: ModelRequest, outcome: Failure, maybe_ran: bool) -> bool:
+        if not self._ctx.decision_enabled("retries") or outcome.kind not in RETRY_KINDS:
             return False
-        return ask.repeatable or not maybe
+        return req.repeatable or not maybe_ran
 
-    def _note_loss(self, ask: Ask, state: EndpointState, outcome: Failure) -> None:
+    def _record_failure(self, req: ModelRequest, state: EndpointState, outcome: Failure) -> None:
         now = self._ctx.clock.monotonic()
         if outcome.kind is Kind.ENDPOINT_REFUSED:
             state.refused(outcome, now)
@@ -116,28 +116,30 @@
         self._ctx.timeline.add(
             "attempt_failed",
             outcome.answer.level,
-            request=ask.request_id,
+            request=req.request_id,
             endpoint=state.name,
-            item=ask.wish.item,
+            item=req.profile.item,
             detail=f"{outcome.kind}: {outcome.reason}",
         )
 
-    async def _attempt(self, ask: Ask, choice: Choice, caller: Caller) -> Reply | Failure:
+    async def _attempt(
+        self, req: ModelRequest, choice: Choice, caller: CallerConnection
+    ) -> Reply | Failure:
         state = choice.state
         now = self._ctx.clock.monotonic()
-        state.began(ask.request_id, now, ask.wish.tokens - choice.cached)
-        state.remember(ask.wish.blocks, now)
-        relay = Relay(self._ctx, self._endpoints, state, ask, caller)
-        handed_on = False
+        state.began(req.request_id, now, req.profile.tokens - choice.cached)
+        state.remember(req.profile.blocks, now)
+        relay = StreamRelay(self._ctx, self._endpoints, state, req, caller)
+        body_returned = False
         try:
-            opened = await self._open(ask, state, caller)
+            opened = await self._open(req, state, caller)
             if failed(opened):
                 if opened.may_have_run:
-                    self._endpoints.cancel(state.url, ask.request_id)
+                    self._endpoints.cancel(state.url, req.request_id)
                 return opened
-            if opened.status != 200 or not ask.stream:
-                return await self._read_whole(ask, choice, opened)
-            if opened.headers.get("x-request-id", ask.request_id) != ask.request_id:
+            if opened.status != 200 or not req.stream:
+                return await self._read_whole(req, choice, opened)
+            if opened.headers.get("x-request-id", req.request_id) != req.request_id:
                 await opened.release()
                 return Failure(Kind.WRONG_ANSWER, "head of another request")
             relay.attach(opened)
@@ -145,36 +147,40 @@
             first = await anext(frames)
             if failed(first):
                 return first
-            self._note_first(ask, choice, now)
-            body = self._pass_on(ask, choice, relay, first, frames)
-            handed_on = True
-            return Reply(200, (("x-request-id", ask.request_id),), body, EVENT_STREAM)
+            self._record_first_token(req, choice, now)
+            body = self._relay_frames(req, choice, relay, first, frames)
+            body_returned = True
+            return Reply(200, (("x-request-id", req.request_id),), body, EVENT_STREAM)
         finally:
-            if not handed_on:
-                state.finished(ask.request_id, self._ctx.clock.monotonic(), False)
+            if not body_returned:
+                state.finished(req.request_id, self._ctx.clock.monotonic(), False)
                 await relay.release()
 
-    async def _open(self, ask: Ask, state: EndpointState, caller: Caller) -> Opened | Failure:
+    async def _open(
+        self, req: ModelRequest, state: EndpointState, caller: CallerConnection
+    ) -> Opened | Failure:
         headers = {
             "content-type": "application/json",
-            "x-request-id": ask.request_id,
-            "x-item": ask.wish.item,
-            "x-priority": str(ask.wish.priority),
-            "traceparent": ask.traceparent,
+            "x-request-id": req.request_id,
+            "x-item": req.profile.item,
+            "x-priority": str(req.profile.priority),
+            "traceparent": req.traceparent,
         }
-        call = Call("POST", ask.path, headers, ask.body, once=not ask.repeatable)
+        call = Call("POST", req.path, headers, req.body, once=not req.repeatable)
         work = self._endpoints.open(state.url, call)
-        outcome = await self._watch(work, ask.request_id, state, ask.deadline, caller)
-        if failed(outcome) and outcome.reason == READY:
-            return await self._take_up(ask, state, outcome)
+        outcome = await self._wait_for_answer(work, req.request_id, state, req.deadline, caller)
+        if failed(outcome) and outcome.reason == ANSWER_READY:
+            return await self._fetch_ready(req, state, outcome)
         return outcome
 
-    async def _take_up(self, ask: Ask, state: EndpointState, lost: Failure) -> Opened | Failure:
+    async def _fetch_ready(
+        self, req: ModelRequest, state: EndpointState, lost: Failure
+    ) -> Opened | Failure:
         """Fetch an answer that stands ready on the engine, over a new connection."""
-        part = "offset=0" if ask.stream else "whole=1"
-        path = f"/v1/streams/{ask.request_id}?{part}&form={ask.form}"
+        part = "offset=0" if req.stream else "whole=1"
+        path = f"/v1/streams/{req.request_id}?{part}&form={req.form}"
         try:
-            async with asyncio.timeout(TAKE_UP_SECONDS):
+            async with asyncio.timeout(FETCH_READY_SECONDS):
                 opened = await self._endpoints.open(state.url, Call("GET", path, {}, b"", False))
         except TimeoutError:
             return lost
@@ -185,13 +191,13 @@
             return lost
         return opened
 
-    async def _watch(
+    async def _wait_for_answer(
         self,
         work: Coroutine[Any, Any, T | Failure],
         request_id: str,
         state: EndpointState,
         deadline: float,
-        caller: Caller,
+        caller: CallerConnection,
     ) -> T | Failure:
         """Wait for ``work`` while looking out for deadline, caller and a lost endpoint.
 
@@ -206,22 +212,24 @@
         try:
             while True:
                 now = clock.monotonic()
-                wait = max(0.0, min(SLICE_SECONDS, deadline - now))
+                wait = max(0.0, min(CHECK_INTERVAL_SECONDS, deadline - now))
                 await asyncio.wait({task}, timeout=wait)
                 if task.done():
                     return task.result()
                 now = clock.monotonic()
                 if now >= deadline:
-                    return lose(State.SENT, Loss.DEADLINE)
-                if caller.gone():
-                    return lose(State.SENT, Loss.CALLER_GONE)
+                    return loss_failure(RequestState.SENT, Loss.DEADLINE)
+                if caller.disconnected():
+                    return loss_failure(RequestState.SENT, Loss.CALLER_GONE)
                 if now < probe_at:
                     continue
                 found = await self._endpoints.probe(state.url, request_id)
                 if failed(found) or found is None or was_done:
                     self._endpoints.suspect(state.url)
                     ready = was_done and not failed(found) and found is not None
-                    return lose(State.SENT, Loss.SILENCE, READY if ready else "")
+                    return loss_failure(
+                        RequestState.SENT, Loss.SILENCE, ANSWER_READY if ready else ""
+                    )
                 was_done = found.done
                 probe_at = clock.monotonic() + self._ctx.cfg.silence_seconds
         finally:
@@ -229,12 +237,14 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    async def _read_whole(self, ask: Ask, choice: Choice, opened: Opened) -> Reply | Failure:
+    async def _read_whole(
+        self, req: ModelRequest, choice: Choice, opened: Opened
+    ) -> Reply | Failure:
         state = choice.state
         if opened.status >= 500:
             await opened.release()
             return Failure(Kind.ENDPOINT_ERROR, f"status {opened.status}")
-        if opened.headers.get("x-request-id", ask.request_id) != ask.request_id:
+        if opened.headers.get("x-request-id", req.request_id) != req.request_id:
             await opened.release()
             return Failure(Kind.WRONG_ANSWER, "head of another request")
         try:
@@ -244,36 +254,38 @@
         if failed(body):
             return body
         if opened.status == 200:
-            checked = read_head(body, ask.request_id)
+            checked = read_head(body, req.request_id)
             if failed(checked):
                 return checked
-            self._learn(ask, choice, checked.usage)
+            self._record_cache_hits(req, choice, checked.usage)
         now = self._ctx.clock.monotonic()
         state.succeeded()
-        state.finished(ask.request_id, now, whole=True)
+        state.finished(req.request_id, now, whole=True)
         if opened.status == 200:
-            self._blocklist.note_answer(ask)
+            self._blocklist.note_answer(req)
         content_type = opened.headers.get("content-type", "application/json")
-        head = (("x-request-id", ask.request_id), ("x-endpoint", state.name))
+        head = (("x-request-id", req.request_id), ("x-endpoint", state.name))
         return Reply(opened.status, head, body, content_type)
 
-    def _learn(self, ask: Ask, choice: Choice, usage: FrameUsage | None) -> None:
+    def _record_cache_hits(
+        self, req: ModelRequest, choice: Choice, usage: FrameUsage | None
+    ) -> None:
         """Compare what was thought to be cached with what the request found cached."""
-        if usage is not None and ask.wish.blocks:
+        if usage is not None and req.profile.blocks:
             choice.state.learn_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
 
-    def _note_first(self, ask: Ask, choice: Choice, began: float) -> None:
-        choice.state.filled(ask.request_id)
+    def _record_first_token(self, req: ModelRequest, choice: Choice, began: float) -> None:
+        choice.state.filled(req.request_id)
         choice.state.succeeded()
         seconds = self._ctx.clock.monotonic() - began
-        label = self._ctx.metrics.item_label(ask.wish.item)
+        label = self._ctx.metrics.item_label(req.profile.item)
         self._ctx.metrics.first_token.labels(label).observe(seconds)
 
-    async def _pass_on(
+    async def _relay_frames(
         self,
-        ask: Ask,
+        req: ModelRequest,
         choice: Choice,
-        relay: Relay,
+        relay: StreamRelay,
         first: bytes,
         frames: AsyncIterator[bytes | Failure],
     ) -> AsyncIterator[bytes]:
@@ -286,27 +298,27 @@
             async for frame in frames:
                 if failed(frame):
                     outcome = frame
-                    self._note_loss(ask, state, frame)
-                    yield write_error(frame, ask.request_id)
+                    self._record_failure(req, state, frame)
+                    yield encode_error_frame(frame, req.request_id)
                     break
                 count += 1
                 yield frame
         finally:
             self._ctx.metrics.tokens.inc(count)
-            state.finished(ask.request_id, self._ctx.clock.monotonic(), relay.whole)
+            state.finished(req.request_id, self._ctx.clock.monotonic(), relay.whole)
             if relay.whole:
-                self._blocklist.note_answer(ask)
-            self._learn(ask, choice, relay.usage)
+                self._blocklist.note_answer(req)
+            self._record_cache_hits(req, choice, relay.usage)
             self._ctx.timeline.add(
                 "stream_ended",
                 "DEBUG",
-                request=ask.request_id,
+                request=req.request_id,
                 endpoint=state.name,
                 detail=str(outcome.kind) if outcome else "whole" if relay.whole else "left",
             )
             await relay.release()
 
 
-def write_error(failure: Failure, request_id: str) -> bytes:
+def encode_error_frame(failure: Failure, request_id: str) -> bytes:
     """Return the frame that tells a caller that its answer is cut."""
     return b"data: " + json.dumps(failure.describe(request_id)).encode() + b"\n\n"
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -10,13 +10,13 @@
 from blacksheep import Application, Content, Request, Response
 
 from peridotdock.answers import answer_failure, answer_json, answer_reply
-from peridotdock.asks import (
-    FORMS,
+from peridotdock.request_parsing import (
+    FORM_BY_PATH,
     Headers,
     find_caller,
     list_models,
-    make_service_ask,
-    read_ask,
+    make_service_request,
+    parse_model_request,
     read_headers,
 )
 from peridotdock.claims import find_owner
@@ -25,26 +25,26 @@
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.host import Host
 from peridotdock.keys import Record, fingerprint
-from peridotdock.requests import Ask, Reply, ServiceAsk
+from peridotdock.requests import ModelRequest, Reply, ServiceRequest
 from peridotdock.schema.manifest import Caller
-from peridotdock.service_calls import HOP_HEADERS, pass_headers
+from peridotdock.service_calls import HOP_HEADERS, filter_headers
 from peridotdock.serving import add_route, read_body
 
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD")
 SERVICE_PREFIX = "/services/"
 FORWARDED_HEADER = "x-peridotdock-forwarded"
-MAX_KEPT_STREAM = 256 * 1024
+MAX_KEPT_STREAM_BYTES = 256 * 1024
 STOPPING_RETRY_SECONDS = 0.0
 FULL_RETRY_SECONDS = 0.5
 
 
-class Connection:
+class HttpCallerConnection:
     """The caller's end of a request."""
 
     def __init__(self, request: Request):
         self._transport = request.scope["abort"].__self__
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Tell whether the connection to the caller is closed."""
         return self._transport.is_closing()
 
@@ -56,14 +56,14 @@
         self._host = host
         self._ctx = host.ctx
         self._streams: dict[str, int] = {}
-        self.in_work = 0
+        self.in_flight = 0
 
     def add_routes(self, app: Application) -> None:
         """Put the callers' paths into an application."""
         add = partial(add_route, app)
         add("GET", "/v1/addresses", self.addresses)
         add("GET", "/v1/models", self.models)
-        for path in FORMS:
+        for path in FORM_BY_PATH:
             add("POST", path, self.generate)
         for method in METHODS:
             add(method, SERVICE_PREFIX + "*", self.service)
@@ -83,10 +83,10 @@
 
     async def metrics(self, request: Request) -> Response:
         """Give the metrics to a scraper."""
-        self._ctx.metrics.in_work.set(self.in_work)
+        self._ctx.metrics.in_work.set(self.in_flight)
         return Response(200, None, Content(b"text/plain", self._ctx.metrics.render()))
 
-    def _know_caller(self, request: Request) -> Caller | Failure:
+    def _authenticate(self, request: Request) -> Caller | Failure:
         if self._host.accepted is None:
             return Failure(Kind.NOT_READY, "", 1.0)
         token = (request.get_first_header(b"authorization") or b"").decode("latin-1")
@@ -94,7 +94,7 @@
 
     async def addresses(self, request: Request) -> Response:
         """Say which addresses to use, for how long, and how keys may begin."""
-        caller = self._know_caller(request)
+        caller = self._authenticate(request)
         if failed(caller):
             return answer_failure(caller, "")
         domain = (request.query.get("domain") or [self._ctx.cfg.domain])[0]
@@ -105,7 +105,7 @@
 
     async def models(self, request: Request) -> Response:
         """List models and adapters."""
-        caller = self._know_caller(request)
+        caller = self._authenticate(request)
         if failed(caller):
             return answer_failure(caller, "")
         return answer_json(list_models(self._host.accepted))
@@ -119,7 +119,7 @@
         return await self._serve(request, request.url.path.decode())
 
     async def _serve(self, request: Request, path: str) -> Response:
-        caller = self._know_caller(request)
+        caller = self._authenticate(request)
         if failed(caller):
             return self._refuse(caller)
         head = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in request.headers}
@@ -129,20 +129,20 @@
         refusal = self._admit_caller(caller, self._was_forwarded(head))
         if refusal is not None:
             return self._refuse(refusal)
-        handed_on = False
-        self._enter(caller)
+        body_returned = False
+        self._begin_request(caller)
         try:
-            outcome = await self._work(request, path, caller, head, headers)
+            outcome = await self._handle(request, path, caller, head, headers)
             if failed(outcome):
                 return self._refuse(outcome, keyed=bool(headers.key))
             self._ctx.metrics.requests.labels("answered").inc()
             if not isinstance(outcome.body, bytes):
-                outcome = replace(outcome, body=self._hold(caller, outcome.body))
-                handed_on = True
+                outcome = replace(outcome, body=self._count_until_end(caller, outcome.body))
+                body_returned = True
             return answer_reply(outcome)
         finally:
-            if not handed_on:
-                self._leave(caller)
+            if not body_returned:
+                self._end_request(caller)
 
     def _was_forwarded(self, head: dict[str, str]) -> bool:
         """Tell whether another host forwarded this, and so counted it.
@@ -150,10 +150,10 @@
         Failure guarded against: a caller sets the header itself and passes its limit. Only a host
         can make the proof.
         """
-        proof = self._prove_forward(self._ctx.incarnation, head.get("authorization", ""))
+        proof = self._sign_forward(self._ctx.incarnation, head.get("authorization", ""))
         return hmac.compare_digest(head.get(FORWARDED_HEADER, "").encode(), proof.encode())
 
-    def _prove_forward(self, owner: str, authorization: str) -> str:
+    def _sign_forward(self, owner: str, authorization: str) -> str:
         text = f"{owner}|{authorization}".encode()
         return hmac.new(self._ctx.cfg.cluster_key.encode(), text, hashlib.sha256).hexdigest()
 
@@ -172,7 +172,7 @@
         """Hold a caller to its limits; a forwarded request was counted where it came in."""
         if self._host.membership.own.state == "gone":
             return Failure(Kind.STOPPING, "", STOPPING_RETRY_SECONDS)
-        if self.in_work >= self._ctx.cfg.max_requests:
+        if self.in_flight >= self._ctx.cfg.max_requests:
             return Failure(Kind.OVERLOADED, "this host is full", FULL_RETRY_SECONDS)
         if self._streams.get(caller.id, 0) >= caller.streams:
             return Failure(Kind.TOO_MANY_STREAMS, "", FULL_RETRY_SECONDS)
@@ -181,25 +181,27 @@
         now = self._ctx.clock.monotonic()
         return self._host.limits.take(caller.id, caller.requests_per_second, now)
 
-    def _enter(self, caller: Caller) -> None:
-        self.in_work += 1
+    def _begin_request(self, caller: Caller) -> None:
+        self.in_flight += 1
         self._streams[caller.id] = self._streams.get(caller.id, 0) + 1
 
-    def _leave(self, caller: Caller) -> None:
-        self.in_work -= 1
+    def _end_request(self, caller: Caller) -> None:
+        self.in_flight -= 1
         self._streams[caller.id] -= 1
         if not self._streams[caller.id]:
             del self._streams[caller.id]
 
-    async def _hold(self, caller: Caller, body: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+    async def _count_until_end(
+        self, caller: Caller, body: AsyncIterator[bytes]
+    ) -> AsyncIterator[bytes]:
         """Count a streamed answer as in work until it has ended."""
         try:
             async for part in body:
                 yield part
         finally:
-            self._leave(caller)
+            self._end_request(caller)
 
-    async def _work(
+    async def _handle(
         self,
         request: Request,
         path: str,
@@ -210,15 +212,15 @@
         body = await read_body(request, self._ctx.cfg.max_body_bytes)
         if failed(body):
             return body
-        ask = self._read(request, path, caller, head, headers, body)
-        if failed(ask):
-            return ask
-        caller_end = Connection(request)
+        req = self._parse(request, path, caller, head, headers, body)
+        if failed(req):
+            return req
+        caller_end = HttpCallerConnection(request)
         if not headers.key:
-            return await self._dispatch(ask, caller_end)
-        return await self._run_keyed(request, ask, caller_end, headers.key, head, body)
+            return await self._dispatch(req, caller_end)
+        return await self._run_keyed(request, req, caller_end, headers.key, head, body)
 
-    def _read(
+    def _parse(
         self,
         request: Request,
         path: str,
@@ -226,30 +228,32 @@
         head: dict[str, str],
         headers: Headers,
         body: bytes,
-    ) -> Ask | ServiceAsk | Failure:
+    ) -> ModelRequest | ServiceRequest | Failure:
         accepted, now = self._host.accepted, self._ctx.clock.monotonic()
-        if path in FORMS:
+        if path in FORM_BY_PATH:
             domain = self._ctx.cfg.domain
-            return read_ask(path, body, caller, headers, accepted, domain, now)
+            return parse_model_request(path, body, caller, headers, accepted, domain, now)
         name, slash, rest = path.removeprefix(SERVICE_PREFIX).partition("/")
         service = accepted.services.get(name)
         if service is None:
             return Failure(Kind.NOT_FOUND, f"no service {name[:64]!r}")
         query = (request.url.query or b"").decode("latin-1")
-        return make_service_ask(
+        return make_service_request(
             service, request.method, slash + rest or "/", query, head, body, caller, headers, now
         )
 
-    async def _dispatch(self, ask: Ask | ServiceAsk, caller: Connection) -> Reply | Failure:
-        if isinstance(ask, Ask):
-            return await self._host.dispatcher.run(ask, caller)
-        return await self._host.service_caller.run(ask, caller)
+    async def _dispatch(
+        self, req: ModelRequest | ServiceRequest, caller: HttpCallerConnection
+    ) -> Reply | Failure:
+        if isinstance(req, ModelRequest):
+            return await self._host.dispatcher.run(req, caller)
+        return await self._host.service_caller.run(req, caller)
 
     async def _run_keyed(
         self,
         request: Request,
-        ask: Ask | ServiceAsk,
-        caller: Connection,
+        req: ModelRequest | ServiceRequest,
+        caller: HttpCallerConnection,
         key: str,
         head: dict[str, str],
         body: bytes,
@@ -258,26 +262,26 @@
         keys = self._host.keys
         now = self._ctx.clock.now().timestamp()
         owner = await find_owner(
-            self._host.platform, keys, self._ctx.incarnation, ask.caller_id, key, now
+            self._host.platform, keys, self._ctx.incarnation, req.caller_id, key, now
         )
         if failed(owner):
             return owner
         if owner.incarnation != self._ctx.incarnation:
             return await self._forward(request, owner.incarnation, head, body)
-        mark = fingerprint(request.method, request.url.path.decode(), body)
-        record = keys.begin(ask.caller_id, key, owner, mark)
+        digest = fingerprint(request.method, request.url.path.decode(), body)
+        record = keys.begin(req.caller_id, key, owner, digest)
         if not isinstance(record, Record):
             return record
-        return await self._run_record(ask, caller, record)
+        return await self._run_record(req, caller, record)
 
     async def _run_record(
-        self, ask: Ask | ServiceAsk, caller: Connection, record: Record
+        self, req: ModelRequest | ServiceRequest, caller: HttpCallerConnection, record: Record
     ) -> Reply | Failure:
         keys = self._host.keys
         unknown = Failure(Kind.ENDPOINT_LOST, "the request was broken off")
         outcome: Reply | Failure = unknown
         try:
-            outcome = await self._dispatch(ask, caller)
+            outcome = await self._dispatch(req, caller)
         finally:
             if failed(outcome) or isinstance(outcome.body, bytes):
                 keys.end(record, outcome)
@@ -295,12 +299,16 @@
         try:
             async for part in body:
                 size += len(part)
-                if size <= MAX_KEPT_STREAM:
+                if size <= MAX_KEPT_STREAM_BYTES:
                     parts.append(part)
                 whole = part.endswith(b"[DONE]\n\n")
                 yield part
         finally:
-            kept = b"".join(parts) if size <= MAX_KEPT_STREAM else b"\0" * (MAX_KEPT_STREAM + 1)
+            kept = (
+                b"".join(parts)
+                if size <= MAX_KEPT_STREAM_BYTES
+                else b"\0" * (MAX_KEPT_STREAM_BYTES + 1)
+            )
             cut = Failure(Kind.ANSWER_CUT, "the answer was not kept whole")
             self._host.keys.end(record, replace(reply, body=kept) if whole else cut)
 
@@ -316,7 +324,7 @@
             return Failure(Kind.KEY_OWNER_GONE)
         headers = {k: v for k, v in head.items() if k not in HOP_HEADERS}
         authorization = head.get("authorization", "")
-        proof = self._prove_forward(incarnation, authorization)
+        proof = self._sign_forward(incarnation, authorization)
         headers |= {"authorization": authorization, FORWARDED_HEADER: proof}
         path = request.url.value.decode("latin-1")
         call = Call(request.method, path, headers, body, once=True)
@@ -330,4 +338,4 @@
         if failed(answer):
             return Failure(Kind.KEY_OWNER_GONE, answer.reason)
         content_type = opened.headers.get("content-type", "application/json")
-        return Reply(opened.status, pass_headers(opened.headers), answer, content_type)
+        return Reply(opened.status, filter_headers(opened.headers), answer, content_type)
--- a/peridotdock/events.py
+++ b/peridotdock/events.py
@@ -84,14 +84,16 @@
         """Record an event called ``name``; ``fields`` are those of :class:`Event`."""
         event = Event(self.clock.tick(), self._host, name, **fields)
         self._ring.append(event)
-        number = logging.getLevelName(level)
-        if log.isEnabledFor(number):
-            log.log(number, name, extra={k: v for k, v in vars(event).items() if v and k != "name"})
+        levelno = logging.getLevelName(level)
+        if log.isEnabledFor(levelno):
+            log.log(
+                levelno, name, extra={k: v for k, v in vars(event).items() if v and k != "name"}
+            )
         for listener in self.listeners:
             listener(event)
         return event
 
-    def select(self, wanted: Filter, most: int = 1000) -> list[Event]:
+    def select(self, wanted: Filter, limit: int = 1000) -> list[Event]:
         """Return the newest ``most`` events that match, oldest first."""
         found = [event for event in self._ring if wanted.matches(event)]
-        return found[-most:]
+        return found[-limit:]
--- a/peridotdock/jobs.py
+++ b/peridotdock/jobs.py
@@ -6,8 +6,8 @@
 
 from peridotdock.context import Context
 
-JITTER = 0.2
-LEAST_SECONDS = 0.1
+JITTER_SHARE = 0.2
+MIN_INTERVAL_SECONDS = 0.1
 
 log = logging.getLogger("peridotdock")
 
@@ -45,16 +45,16 @@
                 await work()
             except Exception:
                 log.exception("job failed", extra={"job": name})
-            spread = 1 + JITTER * (self._ctx.rng.random() - 0.5)
-            await self._pause(seconds() * spread, wake)
+            jitter = 1 + JITTER_SHARE * (self._ctx.rng.random() - 0.5)
+            await self._pause(seconds() * jitter, wake)
 
     async def _pause(self, seconds: float, wake: asyncio.Event | None) -> None:
         if wake is None:
             await self._ctx.clock.sleep(seconds)
             return
-        least = min(seconds, LEAST_SECONDS)
-        await self._ctx.clock.sleep(least)
-        sleep = asyncio.ensure_future(self._ctx.clock.sleep(seconds - least))
+        minimum = min(seconds, MIN_INTERVAL_SECONDS)
+        await self._ctx.clock.sleep(minimum)
+        sleep = asyncio.ensure_future(self._ctx.clock.sleep(seconds - minimum))
         woken = asyncio.ensure_future(wake.wait())
         try:
             await asyncio.wait({sleep, woken}, return_when=asyncio.FIRST_COMPLETED)
--- a/peridotdock/keys.py
+++ b/peridotdock/keys.py
@@ -39,7 +39,7 @@
     fingerprint: bytes
     period: int
     outcome: Reply | Failure | None = None
-    may_run: bool = False
+    may_run_again: bool = False
 
 
 def read_owner(key: str) -> Owner | None:
@@ -56,48 +56,48 @@
 class KeyTable:
     """The keys that this life of this host owns."""
 
-    def __init__(self, incarnation: str, clock: Clock, most: int):
+    def __init__(self, incarnation: str, clock: Clock, max_records: int):
         self._incarnation = incarnation
         self._clock = clock
-        self._most = most
-        self._began = clock.monotonic()
+        self._max_records = max_records
+        self._started_at = clock.monotonic()
         self._records: OrderedDict[tuple[str, str], Record] = OrderedDict()
         self._bytes = 0
 
     def period(self) -> int:
         """Return the current period of this life, in hours since its start."""
-        return int((self._clock.monotonic() - self._began) / PERIOD_SECONDS)
+        return int((self._clock.monotonic() - self._started_at) / PERIOD_SECONDS)
 
     def prefix(self) -> str:
         """Return what callers put before their own part of a key."""
         return f"{self._incarnation}.{self.period()}."
 
-    def begin(self, caller: str, key: str, owner: Owner, mark: bytes) -> Record | Reply | Failure:
+    def begin(self, caller: str, key: str, owner: Owner, digest: bytes) -> Record | Reply | Failure:
         """Start a key: a record to run it under, or the answer to give instead.
 
         A record is dropped only when its period is over, and it never began before its key was
         issued or claimed. So while the key's own period is kept, a missing record proves that
         the key never ran.
         """
-        self._sweep()
+        self._evict_expired()
         if owner.period > self.period():
             return Failure(Kind.BAD_REQUEST, "the key's prefix was never given out")
         record = self._records.get((caller, key))
         if record is not None:
-            return self._again(record, mark)
+            return self._resolve_repeat(record, digest)
         if owner.period <= self.period() - KEPT_PERIODS:
             return Failure(Kind.KEY_EXPIRED)
-        if len(self._records) >= self._most:
+        if len(self._records) >= self._max_records:
             return Failure(Kind.KEYS_FULL, "", PERIOD_SECONDS)
-        record = Record(mark, self.period())
+        record = Record(digest, self.period())
         self._records[(caller, key)] = record
         return record
 
-    def _again(self, record: Record, mark: bytes) -> Record | Reply | Failure:
-        if record.fingerprint != mark:
+    def _resolve_repeat(self, record: Record, digest: bytes) -> Record | Reply | Failure:
+        if record.fingerprint != digest:
             return Failure(Kind.KEY_REUSED)
-        if record.may_run:
-            record.may_run = False
+        if record.may_run_again:
+            record.may_run_again = False
             return record
         if record.outcome is None:
             return Failure(Kind.KEY_IN_PROGRESS, "", BUSY_RETRY_SECONDS)
@@ -106,7 +106,7 @@
     def end(self, record: Record, outcome: Reply | Failure) -> None:
         """Note what became of a key. One that was not run may be tried again."""
         if failed(outcome) and not outcome.may_have_run:
-            record.may_run = True
+            record.may_run_again = True
             return
         if failed(outcome):
             record.outcome = outcome
@@ -118,12 +118,12 @@
         self._bytes += size
         record.outcome = outcome
 
-    def _sweep(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = self.period() - KEPT_PERIODS
         while self._records:
-            place, record = next(iter(self._records.items()))
-            if record.period > oldest or (record.outcome is None and not record.may_run):
+            record_key, record = next(iter(self._records.items()))
+            if record.period > oldest or (record.outcome is None and not record.may_run_again):
                 return
-            del self._records[place]
+            del self._records[record_key]
             if isinstance(record.outcome, Reply):
                 self._bytes -= len(record.outcome.body)
--- a/peridotdock/limits.py
+++ b/peridotdock/limits.py
@@ -1,10 +1,10 @@
 """Limits per caller over all hosts, without a write or a message in a request's path.
 
 Each host owns an equal share of every limit. A host that sees little of a caller lends part of
-its share to one that sees much. Failure guarded against: a grant that is heard late, after the
+its share to one that sees much. Failure guarded against: a loan that is received_at late, after the
 lender took its share back, would let both use it, and the caller's rate would pass its limit. So
-a grant names the heartbeat of the borrower it answers, and both count its time from there: the
-borrower from when it made that heartbeat, the lender from when it heard it, which is later. The
+a loan names the heartbeat of the borrower it answers, and both count its time from there: the
+borrower from when it made that heartbeat, the lender from when it received it, later. The
 borrower has always stopped before the lender begins again, however late the messages are.
 """
 
@@ -15,12 +15,12 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.schema.messages import Loan
 
-GRANT_SECONDS = 10.0
-FRESH_SECONDS = GRANT_SECONDS / 2
+LOAN_SECONDS = 10.0
+MAX_USAGE_AGE_SECONDS = LOAN_SECONDS / 2
 LENT_SHARE = 0.8
 BURST_SECONDS = 1.0
 RATE_SECONDS = 5.0
-MIN_LOAN = 0.05
+MIN_LOAN_RATE = 0.05
 
 
 @dataclass
@@ -28,12 +28,12 @@
     """A token bucket; ``rate`` in units a second."""
 
     level: float
-    at: float
+    updated_at: float
 
-    def fill(self, rate: float, room: float, now: float) -> None:
+    def fill(self, rate: float, capacity: float, now: float) -> None:
         """Let in what has come since the last time; ``room`` is the most that it holds."""
-        self.level = min(room, self.level + (now - self.at) * rate)
-        self.at = now
+        self.level = min(capacity, self.level + (now - self.updated_at) * rate)
+        self.updated_at = now
 
     def take(self, rate: float, now: float) -> float:
         """Take one request; return 0, or the seconds until one fits."""
@@ -41,7 +41,7 @@
         if self.level >= 1.0:
             self.level -= 1.0
             return 0.0
-        return (1.0 - self.level) / rate if rate > 0 else GRANT_SECONDS
+        return (1.0 - self.level) / rate if rate > 0 else LOAN_SECONDS
 
 
 class Usage:
@@ -69,9 +69,9 @@
 class CallerLimits:
     """The part of each caller's limit that this host may use now."""
 
-    def __init__(self, host: str, when_beat: Callable[[int], float | None]):
+    def __init__(self, host: str, heartbeat_time: Callable[[int], float | None]):
         self._host = host
-        self._when_beat = when_beat
+        self._heartbeat_time = heartbeat_time
         self._buckets: dict[str, Bucket] = {}
         self._lent: deque[tuple[Loan, float]] = deque()
         self._borrowed: dict[str, dict[str, Loan]] = {}
@@ -80,16 +80,16 @@
 
     def allowed(self, caller: str, limit: float, now: float) -> float:
         """Return this host's part of ``limit``, in requests a second."""
-        lent = sum(grant.rate for grant, until in self._lent if grant.caller == caller)
-        return max(0.0, limit / self.hosts - lent) + self._borrow(caller, now)
+        lent = sum(loan.rate for loan, until in self._lent if loan.caller == caller)
+        return max(0.0, limit / self.hosts - lent) + self._borrowed_rate(caller, now)
 
-    def _borrow(self, caller: str, now: float) -> float:
+    def _borrowed_rate(self, caller: str, now: float) -> float:
         total = 0.0
-        for grants in self._borrowed.values():
-            grant = grants.get(caller)
-            made = self._when_beat(grant.beat) if grant else None
-            if grant and made is not None and now < made + GRANT_SECONDS:
-                total += grant.rate
+        for loans in self._borrowed.values():
+            loan = loans.get(caller)
+            sent_at = self._heartbeat_time(loan.beat) if loan else None
+            if loan and sent_at is not None and now < sent_at + LOAN_SECONDS:
+                total += loan.rate
         return total
 
     def take(self, caller: str, limit: float, now: float) -> Failure | None:
@@ -106,18 +106,18 @@
         others: dict[str, tuple[int, float, dict[str, float]]],
         now: float,
     ) -> list[Loan]:
-        """Decide what to lend; ``others`` gives heartbeat, when heard, and usage by host.
+        """Decide what to lend; ``others`` gives heartbeat, when received_at, and usage by host.
 
         A loan is made anew only when the last one for that caller has ended, so the sum lent
         never grows past the share.
         """
         while self._lent and self._lent[0][1] <= now:
             self._lent.popleft()
-        busy = {grant.caller for grant, _ in self._lent}
+        lent_callers = {loan.caller for loan, _ in self._lent}
         for caller, limit in limits.items():
-            if caller not in busy:
+            if caller not in lent_callers:
                 self._lend_one(caller, limit, others, now)
-        return [grant for grant, _ in self._lent]
+        return [loan for loan, _ in self._lent]
 
     def _lend_one(
         self,
@@ -128,20 +128,22 @@
     ) -> None:
         share = limit / self.hosts
         spare = (share - self.usage.rate(caller, now)) * LENT_SHARE
-        short = {
+        shortfalls = {
             host: min(rates.get(caller, 0.0) - share, spare)
-            for host, (_, heard, rates) in others.items()
-            if rates.get(caller, 0.0) > share and now - heard < FRESH_SECONDS
+            for host, (_, received_at, rates) in others.items()
+            if rates.get(caller, 0.0) > share and now - received_at < MAX_USAGE_AGE_SECONDS
         }
-        wanted = sum(short.values())
-        if spare <= MIN_LOAN or wanted <= 0:
+        total_shortfall = sum(shortfalls.values())
+        if spare <= MIN_LOAN_RATE or total_shortfall <= 0:
             return
-        part = min(1.0, spare / wanted)
-        for host, amount in sorted(short.items()):
-            beat, heard, _ = others[host]
-            self._lent.append((Loan(caller, host, amount * part, beat), heard + GRANT_SECONDS))
-
-    def borrow(self, lender: str, grants: list[Loan]) -> None:
+        scale = min(1.0, spare / total_shortfall)
+        for host, amount in sorted(shortfalls.items()):
+            beat, received_at, _ = others[host]
+            self._lent.append(
+                (Loan(caller, host, amount * scale, beat), received_at + LOAN_SECONDS)
+            )
+
+    def borrow(self, lender: str, loans: list[Loan]) -> None:
         """Take in what another host lends now; it replaces what it lent before."""
-        mine = {grant.caller: grant for grant in grants if grant.to == self._host}
-        self._borrowed[lender] = mine
+        own = {loan.caller: loan for loan in loans if loan.to == self._host}
+        self._borrowed[lender] = own
--- a/peridotdock/logs.py
+++ b/peridotdock/logs.py
@@ -9,7 +9,7 @@
 
 FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 # Lines kept while nobody reads the stream: some seconds of a busy host, under a megabyte.
-MOST_LINES = 2000
+MAX_BUFFERED_LINES = 2000
 
 
 class BoundedHandler(logging.Handler):
@@ -20,12 +20,12 @@
     waits here, bounded, and a line says how many were left out.
     """
 
-    def __init__(self, stream: TextIO, most: int = MOST_LINES):
+    def __init__(self, stream: TextIO, max_lines: int = MAX_BUFFERED_LINES):
         super().__init__()
         self._fd = stream.fileno()
-        self._most = most
+        self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
-        self._part = b""
+        self._unwritten = b""
         self.lost = 0
         os.set_blocking(self._fd, False)
 
@@ -36,22 +36,22 @@
         except Exception:
             self.handleError(record)
             return
-        while len(self._lines) > self._most:
+        while len(self._lines) > self._max_lines:
             self._lines.popleft()
             self.lost += 1
         self._flush_lines()
 
     def _flush_lines(self) -> None:
-        while self._part or self._lines:
-            if not self._part:
-                self._part = self._next()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_line()
             try:
-                written = os.write(self._fd, self._part)
+                written = os.write(self._fd, self._unwritten)
             except BlockingIOError:
                 return
-            self._part = self._part[written:]
+            self._unwritten = self._unwritten[written:]
 
-    def _next(self) -> bytes:
+    def _next_line(self) -> bytes:
         """Return the next line, or first one that says how many were left out."""
         if not self.lost:
             return self._lines.popleft()
@@ -63,13 +63,13 @@
         return self.format(record).encode() + b"\n"
 
 
-class QuietBreaks(logging.Filter):
+class DeliberateAbortFilter(logging.Filter):
     """Leaves out the server's report of answers that were broken off on purpose."""
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Tell whether a record is to be logged."""
-        found = record.exc_info[1] if record.exc_info else None
-        return not getattr(found, "broken_on_purpose", False)
+        exc = record.exc_info[1] if record.exc_info else None
+        return not getattr(exc, "broken_on_purpose", False)
 
 
 def set_up(level: str, stream: TextIO, host: str) -> None:
@@ -81,7 +81,7 @@
         handler = logging.StreamHandler(stream)
     rename = {"asctime": "time", "levelname": "level", "message": "event"}
     handler.setFormatter(JsonFormatter(FORMAT, rename_fields=rename, static_fields={"host": host}))
-    handler.addFilter(QuietBreaks())
+    handler.addFilter(DeliberateAbortFilter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
--- a/peridotdock/turns.py
+++ b/peridotdock/loop_iterations.py
@@ -13,19 +13,19 @@
 
 # A wait for events that is longer was a wait: nothing was ready when it began. Shorter ones are
 # the call itself, which takes some microseconds.
-IDLE_SECONDS = 0.001
+MIN_WAIT_SECONDS = 0.001
 # Turns that are remembered; a new connection is accepted two turns before its first read.
-MOST_TURNS = 8
+RECORDED_ITERATIONS = 8
 # Turns of the loop from the one that accepts a connection to the one that sets it up.
-ACCEPT_TURNS = 2
+ACCEPT_ITERATIONS = 2
 # Connections that one listening socket gives in one turn. Failure guarded against: a crowd connects
 # and is set up whole before the next event of a stream is passed on; with this many a turn, setting
 # them up takes a few milliseconds.
-ACCEPTS_PER_TURN = 32
+ACCEPTS_PER_ITERATION = 32
 WINDOW_SECONDS = 1.0
 
 
-class Turns:
+class LoopIterations:
     """The last turns of one loop.
 
     A timer that is late by ``long`` seconds or more belongs to a series, which began at
@@ -37,24 +37,26 @@
         self.monotonic = monotonic
         self.count: float = 0
         self.accepted = 0
-        self._crowd = 0
-        self._crowd_turn = 0
-        self._crowd_since = 0.0
-        self._began = self._ended = monotonic()
-        self._lengths: deque[float] = deque([0.0] * MOST_TURNS, maxlen=MOST_TURNS)
-        self._since: deque[float] = deque([self._began] * MOST_TURNS, maxlen=MOST_TURNS)
-        self._window = self._began
-        self._longest = 0.0
-        self._longest_before = 0.0
-        self.long = math.inf
-        self._long_at = float("-inf")
-        self.long_since = self._began
+        self._burst = 0
+        self._burst_iteration = 0
+        self._burst_arrival = 0.0
+        self._started_at = self._ended = monotonic()
+        self._lengths: deque[float] = deque([0.0] * RECORDED_ITERATIONS, maxlen=RECORDED_ITERATIONS)
+        self._earliest_arrivals: deque[float] = deque(
+            [self._started_at] * RECORDED_ITERATIONS, maxlen=RECORDED_ITERATIONS
+        )
+        self._window_start = self._started_at
+        self._max_lag = 0.0
+        self._previous_max_lag = 0.0
+        self.lag_threshold = math.inf
+        self._lagged_at = float("-inf")
+        self.lag_since = self._started_at
 
     def end(self) -> float:
         """Note the end of a turn and return that time."""
         now = self.monotonic()
-        self._note_lag(now, now - self._began)
-        self._lengths.append(now - self._began)
+        self._record_lag(now, now - self._started_at)
+        self._lengths.append(now - self._started_at)
         self._ended = now
         return now
 
@@ -63,94 +65,96 @@
         now = self.monotonic()
         waited = now - self._ended
         if timeout is not None and waited > max(0.0, timeout):
-            self._note_lag(now, waited - max(0.0, timeout))
-        self._since.append(now if waited > IDLE_SECONDS else self._began)
-        self._began = now
+            self._record_lag(now, waited - max(0.0, timeout))
+        self._earliest_arrivals.append(now if waited > MIN_WAIT_SECONDS else self._started_at)
+        self._started_at = now
         self.count += 1
 
-    def _note_lag(self, now: float, lag: float) -> None:
-        self._roll(now)
-        self._longest = max(self._longest, lag)
-        if lag < self.long:
+    def _record_lag(self, now: float, lag: float) -> None:
+        self._roll_window(now)
+        self._max_lag = max(self._max_lag, lag)
+        if lag < self.lag_threshold:
             return
-        if now - self._long_at > 2 * WINDOW_SECONDS:
-            self.long_since = now - lag
-        self._long_at = now
+        if now - self._lagged_at > 2 * WINDOW_SECONDS:
+            self.lag_since = now - lag
+        self._lagged_at = now
 
-    def _roll(self, now: float) -> None:
+    def _roll_window(self, now: float) -> None:
         """Begin a new window of a second when the last one is over."""
-        passed = now - self._window
+        passed = now - self._window_start
         if passed < WINDOW_SECONDS:
             return
-        self._longest_before = self._longest if passed < 2 * WINDOW_SECONDS else 0.0
-        self._longest = 0.0
-        self._window = now
+        self._previous_max_lag = self._max_lag if passed < 2 * WINDOW_SECONDS else 0.0
+        self._max_lag = 0.0
+        self._window_start = now
 
-    def since(self, back: int = 0) -> float:
+    def earliest_arrival(self, back: int = 0) -> float:
         """Return the earliest time at which something read ``back`` turns ago can have come."""
-        return self._since[-1 - back]
+        return self._earliest_arrivals[-1 - back]
 
-    def accept(self) -> float:
+    def count_accept(self) -> float:
         """Count a connection that is being set up; return the earliest time it can have come.
 
         While each turn accepts as many as it may, others were left waiting the turn before.
         """
-        if self.count != self._crowd_turn:
-            goes_on = self._crowd >= ACCEPTS_PER_TURN and self.count == self._crowd_turn + 1
-            if not goes_on:
-                self._crowd_since = self.since(ACCEPT_TURNS)
-            self._crowd_turn, self._crowd = self.count, 0
-        self._crowd += 1
+        if self.count != self._burst_iteration:
+            burst_continues = (
+                self._burst >= ACCEPTS_PER_ITERATION and self.count == self._burst_iteration + 1
+            )
+            if not burst_continues:
+                self._burst_arrival = self.earliest_arrival(ACCEPT_ITERATIONS)
+            self._burst_iteration, self._burst = self.count, 0
+        self._burst += 1
         self.accepted += 1
-        return self._crowd_since
+        return self._burst_arrival
 
-    def usual(self) -> float:
+    def median_length(self) -> float:
         """Return how long a turn lasts at present: the median, which one long one doesn't move."""
-        return sorted(self._lengths)[MOST_TURNS // 2]
+        return sorted(self._lengths)[RECORDED_ITERATIONS // 2]
 
     def lag(self) -> float:
         """Return the most by which a timer was late in the last second, the present turn's too."""
         now = self.monotonic()
-        self._roll(now)
-        return max(self._longest, self._longest_before, now - self._began)
+        self._roll_window(now)
+        return max(self._max_lag, self._previous_max_lag, now - self._started_at)
 
 
-class TurnSelector(selectors.DefaultSelector):
+class IterationSelector(selectors.DefaultSelector):
     """A selector that tells :class:`Turns` of each wait."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.turns = Turns()
+        self.iterations = LoopIterations()
 
     def select(self, timeout: float | None = None):
         """Wait for events."""
-        self.turns.end()
+        self.iterations.end()
         found = super().select(timeout)
-        self.turns.begin(timeout)
+        self.iterations.begin(timeout)
         return found
 
 
-class WatchedLoop(asyncio.SelectorEventLoop):
+class MeasuredLoop(asyncio.SelectorEventLoop):
     """An event loop with :class:`Turns`."""
 
     def __init__(self) -> None:
-        selector = TurnSelector()
+        selector = IterationSelector()
         super().__init__(selector)
-        self.turns = selector.turns
+        self.iterations = selector.iterations
 
 
-class UnknownTurns(Turns):
+class UnknownIterations(LoopIterations):
     """The turns of a loop that does not tell: all that is read has come just now."""
 
     def __init__(self) -> None:
         super().__init__()
         self.count = math.inf
 
-    def since(self, back: int = 0) -> float:
+    def earliest_arrival(self, back: int = 0) -> float:
         """Return the present."""
         return self.monotonic()
 
-    def accept(self) -> float:
+    def count_accept(self) -> float:
         """Return the present."""
         return self.monotonic()
 
@@ -160,9 +164,9 @@
 
 
 # One for all connections: it notes nothing.
-UNKNOWN = UnknownTurns()
+UNKNOWN_ITERATIONS = UnknownIterations()
 
 
-def find_turns() -> Turns:
+def find_iterations() -> LoopIterations:
     """Return the turns of the running loop."""
-    return getattr(asyncio.get_running_loop(), "turns", UNKNOWN)
+    return getattr(asyncio.get_running_loop(), "iterations", UNKNOWN_ITERATIONS)
--- a/peridotdock/metrics.py
+++ b/peridotdock/metrics.py
@@ -5,7 +5,7 @@
 FIRST_TOKEN_BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.35, 0.49, 0.75, 1.0, 2.0, 5.0, 10.0)
 PAUSE_BUCKETS = (0.02, 0.04, 0.076, 0.1, 0.15, 0.2, 0.4, 0.75, 1.5)
 MAX_ITEM_LABELS = 1000
-OTHER = "other"
+OTHER_LABEL = "other"
 
 
 class Metrics:
@@ -73,7 +73,7 @@
         if item in self._items:
             return item
         if len(self._items) >= MAX_ITEM_LABELS:
-            return OTHER
+            return OTHER_LABEL
         self._items.add(item)
         return item
 
--- a/peridotdock/planner.py
+++ b/peridotdock/planner.py
@@ -67,7 +67,7 @@
                 return
             checks |= lapsed
         engines = self._view(accepted, ledgers, down)
-        plan = make_plan(accepted, engines, demand, self._ctx.allows("planner_copies"))
+        plan = make_plan(accepted, engines, demand, self._ctx.decision_enabled("planner_copies"))
         if plan == self.plan and self.holder == self._ctx.incarnation:
             return
         await self._write(plan, checks, accepted.generation)
--- a/peridotdock/platform/documents.py
+++ b/peridotdock/platform/documents.py
@@ -50,7 +50,7 @@
     return CallerLimits(
         max_header_bytes=int(raw.get("max_header_bytes", default.max_header_bytes)),
         max_body_bytes=int(raw.get("max_body_bytes", default.max_body_bytes)),
-        idle=float(raw.get("idle_timeout_ms", default.idle * 1000)) / 1000,
+        idle_timeout=float(raw.get("idle_timeout_ms", default.idle_timeout * 1000)) / 1000,
     )
 
 
@@ -110,7 +110,7 @@
         max_sends=int(raw.get("max_attempts") or 1),
         resumable=streams and bool(raw.get("resumable")),
         longest_pause=pause,
-        patience=caller_patience(target, pause) if streams else timeout,
+        stall_timeout=caller_patience(target, pause) if streams else timeout,
         public=bool(raw.get("public")),
     )
 
@@ -137,7 +137,7 @@
     return EngineSpec(
         slots=int(raw["slots"]),
         weights_mb=float(raw["weights_mb"]),
-        adapter_places=int(raw.get("adapter_slots") or 0),
+        adapter_slots=int(raw.get("adapter_slots") or 0),
         cache_tokens=int(raw.get("kv_capacity_tokens") or 0),
         cache_token_bytes=float(raw.get("kv_token_bytes") or 0),
         loads_per_second=float(raw.get("loads_per_s") or 0),
@@ -151,9 +151,9 @@
     return Model(
         name=raw["name"],
         weights_mb=float(raw["weights_mb"]),
-        load=load,
-        from_disk=float(raw.get("disk_s") or load),
-        from_memory=float(raw.get("warm_s") or load),
+        load_seconds=load,
+        disk_load_seconds=float(raw.get("disk_s") or load),
+        memory_load_seconds=float(raw.get("warm_s") or load),
         adapters=int(raw.get("adapters") or 0),
         adapter_mb=float(raw.get("adapter_mb") or 0),
     )
--- a/peridotdock/prefix.py
+++ b/peridotdock/prefix.py
@@ -15,12 +15,12 @@
 
     ``seed`` is the item: its cache is not shared with that of another.
     """
-    last = xxhash.xxh64_intdigest(seed.encode())
+    digest = xxhash.xxh64_intdigest(seed.encode())
     chain = []
     for start in range(0, min(len(text), MAX_BLOCKS * BLOCK_CHARS) - BLOCK_CHARS + 1, BLOCK_CHARS):
         block = text[start : start + BLOCK_CHARS].encode()
-        last = xxhash.xxh64_intdigest(struct.pack("<Q", last) + block)
-        chain.append(last)
+        digest = xxhash.xxh64_intdigest(struct.pack("<Q", digest) + block)
+        chain.append(digest)
     return tuple(chain)
 
 
--- a/peridotdock/reasons.py
+++ b/peridotdock/reasons.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-NUMBER = re.compile(r"\d+(\.\d+)?")
-FIRST_EVENT = re.compile(r"after ([\d.]+) s of ([\d.]+)")
-LATE = "late: first token"
-PAUSED = "late: a pause within the stream"
+NUMBER_PATTERN = re.compile(r"\d+(\.\d+)?")
+FIRST_EVENT_PATTERN = re.compile(r"after ([\d.]+) s of ([\d.]+)")
+LATE_FIRST_TOKEN = "late: first token"
+LATE_PAUSE = "late: a pause within the stream"
 
 
 @dataclass
@@ -32,14 +32,14 @@
 
     def describe(self) -> dict[str, Any]:
         """Return the row of the table."""
-        most = max(self.endpoints, key=self.endpoints.__getitem__, default="")
+        worst = max(self.endpoints, key=self.endpoints.__getitem__, default="")
         return {
             "reason": self.name,
             "requests": len(self.requests),
             "first": self.first,
             "last": self.last,
             "endpoints": len(self.endpoints),
-            "most at": f"{most} ({self.endpoints[most]})" if most else "",
+            "most at": f"{worst} ({self.endpoints[worst]})" if worst else "",
         }
 
 
@@ -59,14 +59,14 @@
     """Return why the request of a log line was not served in time; empty where it says nothing."""
     event, detail = row.get("event", ""), row.get("detail", "")
     if event == "refused":
-        return "refused: " + NUMBER.sub("N", detail)
+        return "refused: " + NUMBER_PATTERN.sub("N", detail)
     if event == "answer_broken":
         return "broken off: " + detail.partition(":")[0]
     if event == "paused":
-        return PAUSED
+        return LATE_PAUSE
     if event == "first_event":
-        found = FIRST_EVENT.match(detail)
-        return LATE if found and float(found[1]) > float(found[2]) else ""
+        match = FIRST_EVENT_PATTERN.match(detail)
+        return LATE_FIRST_TOKEN if match and float(match[1]) > float(match[2]) else ""
     return ""
 
 
@@ -76,7 +76,7 @@
     A request counts once, under the first cause that its lines name. ``since`` and ``until`` are
     compared with the beginning of each line's time.
     """
-    found: dict[str, Reason] = {}
+    reasons: dict[str, Reason] = {}
     counted: set[str] = set()
     rows = [row for row in read_lines(lines) if since <= row["time"] < until]
     for row in sorted(rows, key=lambda row: row["time"]):
@@ -84,6 +84,6 @@
         if not name or row["request"] in counted:
             continue
         counted.add(row["request"])
-        found.setdefault(name, Reason(name, row["time"], row["time"])).note(row)
-    ordered = sorted(found.values(), key=lambda reason: -len(reason.requests))
+        reasons.setdefault(name, Reason(name, row["time"], row["time"])).note(row)
+    ordered = sorted(reasons.values(), key=lambda reason: -len(reason.requests))
     return [reason.describe() for reason in ordered]
--- a/peridotdock/relay/absent.py
+++ b/peridotdock/relay/absent.py
@@ -11,7 +11,7 @@
 from peridotdock.relay.endpoint import name_wish
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 
 # Seconds between two looks for an endpoint while nothing changes: one that could not be reached is
 # tried again after a pause, which is no change of the entries.
@@ -88,7 +88,7 @@
             finally:
                 change.cancel()
             if caller.gone():
-                return lose(State.ADMITTED, Loss.CALLER_GONE)
+                return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         return None
 
     def _describe(self, ask: RelayAsk, service: str, wish: ModelWish | None) -> Absence:
--- a/peridotdock/relay/asks.py
+++ b/peridotdock/relay/asks.py
@@ -86,7 +86,7 @@
     @property
     def first_by(self) -> float:
         """Return when the first sign of an answer must be there, or the caller leaves."""
-        return min(self.deadline, self.began + self.route.patience)
+        return min(self.deadline, self.began + self.route.stall_timeout)
 
     @property
     def id(self) -> str:
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -12,7 +12,7 @@
 from peridotdock.relay.caller import CallerEnd
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.events import EventSplitter, StreamEvent
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 
 SERVER_ERROR = 500
 
@@ -138,10 +138,12 @@
                 self.ended = not part
         except BROKEN as exc:
             if caller.gone():
-                return lose(State.FIRST_BYTE, Loss.CALLER_GONE)
+                return loss_failure(RequestState.FIRST_BYTE, Loss.CALLER_GONE)
             if self._patience.over:
                 silent = silent and not self._patience.prolonged
-                return lose(State.FIRST_BYTE, Loss.SILENCE if silent else Loss.DEADLINE)
+                return loss_failure(
+                    RequestState.FIRST_BYTE, Loss.SILENCE if silent else Loss.DEADLINE
+                )
             return Failure(Kind.ANSWER_CUT, type(exc).__name__)
         finally:
             self._patience.end()
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -15,8 +15,8 @@
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.waits import Waits
-from peridotdock.requests import Loss, State, lose
-from peridotdock.turns import find_turns
+from peridotdock.requests import Loss, RequestState, loss_failure
+from peridotdock.loop_iterations import find_iterations
 
 # Seconds until a caller may come back when no endpoint has what it asks for.
 ABSENT_RETRY_SECONDS = 0.5
@@ -38,7 +38,7 @@
         self._waits = waits
         self._grants = grants
         self._permits = permits
-        self._turns = find_turns()
+        self._turns = find_iterations()
 
     async def find(
         self, ask: RelayAsk, caller: CallerEnd, progress: Progress
@@ -56,7 +56,7 @@
         if failed(found):
             return found
         left = ask.deadline - self._ctx.clock.monotonic()
-        trouble = judge_send(left, found.seconds, self._turns.usual())
+        trouble = judge_send(left, found.seconds, self._turns.median_length())
         if trouble is not None:
             return Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
         return found
@@ -116,7 +116,7 @@
             permit = await self._permits.ask(self._fleet.states[found.candidate.key], caller=caller)
             if permit.given:
                 return found
-        return lose(State.ADMITTED, Loss.CALLER_GONE)
+        return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
 
     def _choose_among(
         self, candidates: Sequence[Candidate], ask: RelayAsk, progress: Progress
--- a/peridotdock/relay/daemon.py
+++ b/peridotdock/relay/daemon.py
@@ -13,7 +13,7 @@
 from peridotdock.relay.settings import HostSettings
 from peridotdock.schema.settings import Settings
 from peridotdock.status import ExitStatus
-from peridotdock.turns import WatchedLoop
+from peridotdock.loop_iterations import MeasuredLoop
 
 # Links of a host to others. Eight join up to nine hosts directly; among more, each fact takes a
 # second or third hop, and few hosts hear it more often than they must.
@@ -37,7 +37,7 @@
     )
     logs.set_up(cfg.log_level, streams.out, cfg.host_id)
     settle_memory()
-    with asyncio.Runner(loop_factory=WatchedLoop) as runner:
+    with asyncio.Runner(loop_factory=MeasuredLoop) as runner:
         runner.run(serve(cfg, found))
     return ExitStatus.OK
 
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -130,7 +130,7 @@
         """Return how long the quickest endpoint of a service takes to load a model."""
         states = self.by_service.get(service, ())
         times = [load_seconds(state.entry, model) for state in states if not state.leaving]
-        return min(times, default=model.load)
+        return min(times, default=model.load_seconds)
 
     def take_news(self, rows: Iterable[EngineNews], at: float) -> None:
         """Take in what the host that orders engines said at a time (monotonic seconds).
@@ -307,8 +307,8 @@
 def load_seconds(entry: EndpointEntry, model: Model) -> float:
     """Return how long an endpoint takes to load a model, by what it has at hand."""
     if model.name in entry.in_memory:
-        return model.from_memory
-    return model.from_disk if model.name in entry.on_disk else model.load
+        return model.memory_load_seconds
+    return model.disk_load_seconds if model.name in entry.on_disk else model.load_seconds
 
 
 def count_shared(wish: ModelWish) -> int:
--- a/peridotdock/relay/front.py
+++ b/peridotdock/relay/front.py
@@ -23,7 +23,7 @@
 from peridotdock.relay.streaming import pass_on
 from peridotdock.relay.wire import Wire
 from peridotdock.requests import Reply
-from peridotdock.serving import CAME, read_body
+from peridotdock.serving import ARRIVAL_KEY, read_body
 
 # Seconds until a caller may come back to a host that knows no configuration yet: by then it has
 # read one, or the caller has asked for other addresses.
@@ -166,7 +166,7 @@
     request: Request, head: RequestHead, route: Route, body: bytes, identity: Identity
 ) -> RelayAsk:
     """Return the request to relay; its time runs from when it can have come at the earliest."""
-    came = request.scope[CAME]
+    came = request.scope[ARRIVAL_KEY]
     seconds = route.timeout if head.seconds is None else min(route.timeout, head.seconds)
     target = request.url.value.decode("latin-1")
     return RelayAsk(head, route, request.method, target, body, came, came + seconds, identity)
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -27,10 +27,10 @@
 from peridotdock.relay.caller import CallerEnd
 from peridotdock.relay.endpoint import EndpointState, name_wish
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import Grant as GrantFrame
 from peridotdock.schema.messages import GrantDropped, GrantWanted
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 # Seconds that the hub's first word may take, and turns of this host's loop beside: two trips
 # between failure domains and the hub's own turn.
@@ -157,7 +157,7 @@
             self._queued.setdefault(model, MovingAverage(QUEUED_SECONDS))
         found = {}
         for model, average in list(self._queued.items()):
-            value = average.look(tokens.get(model, 0), now)
+            value = average.update(tokens.get(model, 0), now)
             if value >= QUEUED_STEP:
                 found[model] = int(value // QUEUED_STEP * QUEUED_STEP)
             elif model not in tokens:
@@ -244,7 +244,7 @@
         find_hub: Callable[[], str],
         send: Callable[[str, object], bool],
         fleet: RelayFleet,
-        turns: Turns,
+        turns: LoopIterations,
         find_domain: Callable[[str], str],
     ):
         self._ctx = ctx
@@ -298,7 +298,7 @@
         if word is None or caller.gone():
             self._deliver(hub, GrantDropped("grant_dropped", question.number))
         if caller.gone():
-            return lose(State.ADMITTED, Loss.CALLER_GONE)
+            return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         if word is None:
             return None
         return Granted(word.endpoint, word.ahead / 1000) if word.endpoint else self._deny(word.wait)
@@ -314,7 +314,9 @@
         self, question: Question, ask: RelayAsk, caller: CallerEnd
     ) -> GrantFrame | None:
         """Return the hub's decision; None when it is silent, or gone while the prompt is queued."""
-        word = await question.next_word(caller, WORD_SECONDS + WORD_TURNS * self._turns.usual())
+        word = await question.next_word(
+            caller, WORD_SECONDS + WORD_TURNS * self._turns.median_length()
+        )
         if word is None:
             if not caller.gone():
                 self._note_silence(question.hub)
--- a/peridotdock/relay/lag.py
+++ b/peridotdock/relay/lag.py
@@ -8,7 +8,7 @@
 
 from peridotdock.context import Context
 from peridotdock.decisions.overload import BEHIND_SECONDS, HostState, Trouble, judge_host
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 # Seconds between two looks, and between two log lines while a host stays behind.
 LOOK_SECONDS = 1.0
@@ -54,13 +54,13 @@
     def __init__(
         self,
         ctx: Context,
-        turns: Turns,
+        turns: LoopIterations,
         in_work: Callable[[], int],
         descriptors: CountDescriptors = count_descriptors,
     ):
         self._ctx = ctx
         self._turns = turns
-        turns.long = BEHIND_SECONDS
+        turns.lag_threshold = BEHIND_SECONDS
         self._in_work = in_work
         self.count = descriptors
         self._accepted = 0
@@ -99,7 +99,7 @@
         if lag < BEHIND_SECONDS:
             self._behind_since = None
         elif not was_behind:
-            self._behind_since = self._turns.long_since
+            self._behind_since = self._turns.lag_since
         behind_for = 0.0 if self._behind_since is None else now - self._behind_since
         free = None if self.descriptors is None else self.descriptors.free
         trouble = judge_host(HostState(lag, behind_for, free))
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/node.py
@@ -36,7 +36,7 @@
 from peridotdock.relay.waits import Waits
 from peridotdock.relay.words import EndpointWords
 from peridotdock.serving import Server, make_application
-from peridotdock.turns import find_turns
+from peridotdock.loop_iterations import find_iterations
 
 # Seconds between a change of the configuration and the next call on it: changes that come in quick
 # succession are seen one by one.
@@ -103,11 +103,13 @@
             self.peers.hub,
             mesh.send_to,
             self.fleet,
-            find_turns(),
+            find_iterations(),
             self.peers.membership.find_domain,
         )
         mesh.on_grant = self.grants.take
-        self.permits = EndpointPermits(ctx, settings.host, self.peers, self.fleet, find_turns())
+        self.permits = EndpointPermits(
+            ctx, settings.host, self.peers, self.fleet, find_iterations()
+        )
         self.words = EndpointWords(ctx, settings.host, self.peers, self.fleet)
         mesh.on_permit = self.permits.take
         self.grants.server.find_permit = self.permits.waits
@@ -130,9 +132,9 @@
         self.service.sender.on_answer = self.words.note_answer
         self.service.on_gap = self.grants.server.note_gap
         self.service.on_down = lambda key: self.peers.tell_wants()
-        self.lag = LagWatch(ctx, find_turns(), lambda: self.front.in_work)
+        self.lag = LagWatch(ctx, find_iterations(), lambda: self.front.in_work)
         self.lag.on_change = self._tell_state
-        self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_turns())
+        self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_iterations())
         mesh.on_quota = self.quotas.take
         identifier = Identifier(settings.bounds, self._config_age)
         self.front = Front(
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -193,7 +193,7 @@
             # models on the others for held nowhere, and spends the ration on second copies.
             return
         for record in records:
-            record.pressure.look(self._ahead(record, now), now)
+            record.pressure.update(self._ahead(record, now), now)
         views = [
             record.view(
                 now, self.late_items(record), running.get(record.entry.incarnation, NOTHING_RUNS)
@@ -313,7 +313,7 @@
         model = spec.models.get(step.model)
         begun = self._ctx.clock.monotonic()
         loads = step.action is Action.LOAD and not step.adapter
-        if loads and model and seconds >= model.load:
+        if loads and model and seconds >= model.load_seconds:
             self._ration(service).begin(begun)
         try:
             engine = record.entry.incarnation
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -11,7 +11,7 @@
 from peridotdock.relay.peers import Peers
 from peridotdock.relay.questions import Questions
 from peridotdock.schema.messages import PermitGiven, PermitWanted
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 # Seconds for which an endpoint is left alone that the hub gave no word on.
 REST_SECONDS = 0.25
@@ -22,7 +22,9 @@
 class EndpointPermits:
     """Permits on one host, which may be the hub."""
 
-    def __init__(self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet, turns: Turns):
+    def __init__(
+        self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet, turns: LoopIterations
+    ):
         self._ctx = ctx
         self._host = host
         self._peers = peers
--- a/peridotdock/relay/questions.py
+++ b/peridotdock/relay/questions.py
@@ -5,7 +5,7 @@
 from typing import Generic, TypeVar
 
 from peridotdock.relay.caller import CallerEnd
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 T = TypeVar("T")
 # Seconds that the hub's word may take, and turns of this host's loop beside: two trips between
@@ -17,7 +17,7 @@
 class Questions(Generic[T]):
     """The questions of one kind that are open, by number."""
 
-    def __init__(self, turns: Turns):
+    def __init__(self, turns: LoopIterations):
         self._turns = turns
         self._number = 0
         self._open: dict[int, asyncio.Future[T]] = {}
@@ -34,7 +34,7 @@
         try:
             if not send(number):
                 return None
-            seconds = WORD_SECONDS + WORD_TURNS * self._turns.usual()
+            seconds = WORD_SECONDS + WORD_TURNS * self._turns.median_length()
             waits = {word} if caller is None else {word, caller.left}
             first = asyncio.FIRST_COMPLETED
             await asyncio.wait(waits, timeout=seconds, return_when=first)
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -15,9 +15,9 @@
 from peridotdock.relay.peers import Peers
 from peridotdock.relay.questions import Questions
 from peridotdock.relay.settings import Bounds
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import QuotaGiven, QuotasFact, QuotaWanted, UsageFact
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 from peridotdock.workspaces import Quota
 
 # Seconds after which the hub says again which quotas are low although that has not changed: by its
@@ -41,7 +41,9 @@
 class Quotas:
     """Quotas on one host, which may be the hub."""
 
-    def __init__(self, ctx: Context, host: str, peers: Peers, bounds: Bounds, turns: Turns):
+    def __init__(
+        self, ctx: Context, host: str, peers: Peers, bounds: Bounds, turns: LoopIterations
+    ):
         self._ctx = ctx
         self._host = host
         self._peers = peers
@@ -68,7 +70,7 @@
         if wait == 0 and caller.gone():
             self._own.count(charge.name, -charge.cost)
         if caller.gone():
-            return lose(State.ADMITTED, Loss.CALLER_GONE)
+            return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         if wait == 0:
             return None
         spread = 1 + RETRY_SPREAD * (self._ctx.rng.random() - 0.5)
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -12,9 +12,9 @@
 from peridotdock.relay.caller import CallerEnd
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.wire import Wire
-from peridotdock.requests import Loss, State, lose
-from peridotdock.timeouts import TurnTimeout
-from peridotdock.turns import find_turns
+from peridotdock.requests import Loss, RequestState, loss_failure
+from peridotdock.timeouts import IterationTimeout
+from peridotdock.loop_iterations import find_iterations
 
 T = TypeVar("T")
 # Called with the head of each answer, and when its request was sent (monotonic seconds).
@@ -36,7 +36,7 @@
     head: AnswerHead
 
 
-class Limit(TurnTimeout):
+class Limit(IterationTimeout):
     """Ends the work of the running task when its time is over or the caller has left.
 
     The work goes on in the same task: handing it to another one costs two turns of the loop more
@@ -59,7 +59,7 @@
         return await super().__aexit__(*exc)
 
     def _leave(self, _: object) -> None:
-        self.end()
+        self.expire()
 
 
 async def wait_for(
@@ -77,8 +77,8 @@
         if not limit.expired():
             raise
     if caller.gone():
-        return lose(State.SENT, Loss.CALLER_GONE)
-    return lose(State.SENT, Loss.SILENCE if silence else Loss.DEADLINE)
+        return loss_failure(RequestState.SENT, Loss.CALLER_GONE)
+    return loss_failure(RequestState.SENT, Loss.SILENCE if silence else Loss.DEADLINE)
 
 
 class Sender:
@@ -88,7 +88,7 @@
         self._wire = wire
         self._endpoints = endpoints
         self._clock = clock
-        self._turns = find_turns()
+        self._turns = find_iterations()
         self.on_answer: OnAnswer = lambda ask, state, head, sent: None
 
     async def send(
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -22,8 +22,8 @@
 from peridotdock.relay.sending import NOT_RUN, SUCCESS, Sender, Sent, wait_for
 from peridotdock.relay.settings import Bounds
 from peridotdock.relay.wire import Wire
-from peridotdock.requests import RETRY_KINDS, admit_maybe, broke_off
-from peridotdock.turns import find_turns
+from peridotdock.requests import RETRY_KINDS, mark_maybe_ran, connection_broke
+from peridotdock.loop_iterations import find_iterations
 
 # Refused sends of one request: each was not run, but each is an arrival at the service.
 MOST_REFUSALS = 2
@@ -57,7 +57,7 @@
         self.sender = Sender(wire, endpoints, ctx.clock)
         self._bounds = bounds
         self._allowances: dict[str, RetryAllowance] = {}
-        self._turns = find_turns()
+        self._turns = find_iterations()
         self._began = float("-inf") if first_start else ctx.clock.monotonic()
         self.hosts = 1
         self.on_down: Callable[[str], None] = lambda key: None
@@ -94,7 +94,7 @@
             if failed(place):
                 # What tells when to come back goes before why the last send was lost.
                 told = place if place.retry_after is not None else outcome or place
-                return fallback or admit_maybe(told, progress.maybe_ran > 0)
+                return fallback or mark_maybe_ran(told, progress.maybe_ran > 0)
             found = await self._attempt(ask, caller, progress, place)
             if isinstance(found, Whole) and found.erred:
                 fallback = found
@@ -105,7 +105,7 @@
             if not self.may_repeat(ask, caller, progress, found):
                 if fallback is not None:
                     return fallback
-                return admit_maybe(outcome, progress.maybe_ran > 0)
+                return mark_maybe_ran(outcome, progress.maybe_ran > 0)
 
     async def _admit(
         self, ask: RelayAsk, caller: CallerEnd, progress: Progress
@@ -291,7 +291,7 @@
         if not failed(found) or found.kind is not Kind.DEADLINE or ask.head.wish is not None:
             return
         now = self.ctx.clock.monotonic()
-        if is_overdue(now - began, expected, TURNS_TO_ANSWER * self._turns.usual()):
+        if is_overdue(now - began, expected, TURNS_TO_ANSWER * self._turns.median_length()):
             state.health.overdue(now)
 
     def note_loss(
@@ -315,7 +315,7 @@
         elif found.kind in RETRY_KINDS:
             state.health.lost(now)
         just_begun = streamed is None or streamed < STARTED_SECONDS
-        if broke_off(found) and just_begun:
+        if connection_broke(found) and just_begun:
             self.blocklist.note_end(ask, state.start)
         self.ctx.timeline.add(
             "send_lost",
@@ -332,7 +332,7 @@
     The content is the same in all attempts at one request; the one that ends an endpoint as it
     begins to run has no event yet, those that only were there have streamed for a while.
     """
-    if not broke_off(found):
+    if not connection_broke(found):
         return ""
     since = "no event" if streamed is None else f"streamed for {streamed:.3f} s"
     return f", content {ask.content_id}, {since}"
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -14,7 +14,7 @@
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 
 # Seconds between two looks while all endpoints rest: another may have come meanwhile.
 LOOK_SECONDS = 0.25
@@ -53,7 +53,7 @@
         left = ask.first_by - self._ctx.clock.monotonic()
         seconds = backoff_seconds(progress.refusals, left, self._ctx.rng.random)
         await asyncio.wait({caller.left}, timeout=seconds)
-        return lose(State.ADMITTED, Loss.CALLER_GONE) if caller.gone() else None
+        return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE) if caller.gone() else None
 
     async def until_open(
         self, ask: RelayAsk, caller: CallerEnd, progress: Progress, rows: Sequence[Candidate]
@@ -79,5 +79,5 @@
         longest = LOOK_SECONDS if row.rest else permit.wait
         await asyncio.wait({caller.left}, timeout=min(permit.wait, longest))
         if caller.gone():
-            return lose(State.ADMITTED, Loss.CALLER_GONE)
+            return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         return None if row.rest else Prediction(row, seconds)
--- a/peridotdock/asks.py
+++ b/peridotdock/request_parsing.py
@@ -14,7 +14,7 @@
 from peridotdock.items import Item
 from peridotdock.manifest import Accepted
 from peridotdock.prefix import count_tokens, hash_blocks
-from peridotdock.requests import Ask, ServiceAsk, Wish
+from peridotdock.requests import ModelRequest, ServiceRequest, RoutingProfile
 from peridotdock.schema.manifest import Caller, Service
 
 MODEL_DEADLINE_SECONDS = 120.0
@@ -26,7 +26,7 @@
 KEY_HEADER = "idempotency-key"
 TRACE_HEADER = "traceparent"
 TRACE_PATTERN = re.compile(r"00-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
-FORMS = {"/v1/chat/completions": "chat", "/v1/completions": "text"}
+FORM_BY_PATH = {"/v1/chat/completions": "chat", "/v1/completions": "text"}
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     stream: bool | None = False
 
 
-BODY = msgspec.json.Decoder(ModelBody)
+BODY_DECODER = msgspec.json.Decoder(ModelBody)
 
 
 @dataclass(frozen=True)
@@ -86,7 +86,7 @@
     )
 
 
-def read_number(text: str | None, least: float, most: float) -> float | None | Failure:
+def read_number(text: str | None, minimum: float, maximum: float) -> float | None | Failure:
     """Read a number within bounds; None when there is none."""
     if text is None:
         return None
@@ -94,8 +94,8 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if not least <= value <= most:
-        return Failure(Kind.BAD_REQUEST, f"expected a number from {least:g} to {most:g}")
+    if not minimum <= value <= maximum:
+        return Failure(Kind.BAD_REQUEST, f"expected a number from {minimum:g} to {maximum:g}")
     return value
 
 
@@ -111,8 +111,8 @@
 
 def choose_priority(caller: Caller, headers: Headers) -> int:
     """Return the class of a request: what was asked for, at most what the caller may have."""
-    wanted = DEFAULT_PRIORITY if headers.priority is None else headers.priority
-    return min(wanted, caller.priority)
+    requested = DEFAULT_PRIORITY if headers.priority is None else headers.priority
+    return min(requested, caller.priority)
 
 
 def read_text(body: ModelBody) -> str:
@@ -131,7 +131,7 @@
     return content or ""
 
 
-def read_ask(
+def parse_model_request(
     path: str,
     raw: bytes,
     caller: Caller,
@@ -139,10 +139,10 @@
     accepted: Accepted,
     domain: str,
     now: float,
-) -> Ask | Failure:
+) -> ModelRequest | Failure:
     """Build the request for a model or adapter, or say what is wrong with it."""
     try:
-        body = BODY.decode(raw)
+        body = BODY_DECODER.decode(raw)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         return Failure(Kind.BAD_REQUEST, str(exc))
     if not body.messages and not body.prompt:
@@ -151,28 +151,28 @@
     if item is None:
         return Failure(Kind.UNKNOWN_MODEL, body.model[:128])
     text = read_text(body)
-    return Ask(
+    return ModelRequest(
         request_id=uuid.uuid4().hex,
         caller_id=caller.id,
         path=path,
-        form=FORMS[path],
+        form=FORM_BY_PATH[path],
         stream=bool(body.stream),
         body=raw,
-        wish=make_wish(item, text, choose_priority(caller, headers), domain),
+        profile=make_routing_profile(item, text, choose_priority(caller, headers), domain),
         repeatable=not headers.key,
         deadline=now + (headers.deadline_seconds or MODEL_DEADLINE_SECONDS),
         traceparent=headers.traceparent,
     )
 
 
-def make_wish(item: Item, text: str, priority: int, domain: str) -> Wish:
+def make_routing_profile(item: Item, text: str, priority: int, domain: str) -> RoutingProfile:
     """Return what routing needs to know."""
-    return Wish(
+    return RoutingProfile(
         item=item.key,
         tokens=count_tokens(text),
         blocks=hash_blocks(item.key, text),
         priority=priority,
-        first_token=item.target.first_token_ms / 1000,
+        first_token_seconds=item.target.first_token_ms / 1000,
         domain=domain,
     )
 
@@ -187,7 +187,7 @@
     return False
 
 
-def make_service_ask(
+def make_service_request(
     service: Service,
     method: str,
     path: str,
@@ -197,10 +197,10 @@
     caller: Caller,
     headers: Headers,
     now: float,
-) -> ServiceAsk:
+) -> ServiceRequest:
     """Build a call to a plain service; the path is the part behind its prefix."""
     deadline = headers.deadline_seconds or service.target_ms / 1000 * SERVICE_DEADLINE_FACTOR
-    return ServiceAsk(
+    return ServiceRequest(
         request_id=uuid.uuid4().hex,
         caller_id=caller.id,
         service=service.id,
--- a/peridotdock/requests.py
+++ b/peridotdock/requests.py
@@ -12,7 +12,7 @@
 CONTENT_ID_BYTES = 8
 
 
-class State(StrEnum):
+class RequestState(StrEnum):
     """How far a request has come."""
 
     RECEIVED = "received"
@@ -34,23 +34,23 @@
 
 # Up to CLAIMED no byte has left for an endpoint, so the request was not run. From SENT on it may
 # have run, whatever we know of the connection.
-OUTCOMES: dict[tuple[State, Loss], Kind] = {
-    (State.RECEIVED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
-    (State.ADMITTED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
-    (State.CLAIMED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
-    (State.ADMITTED, Loss.ENDPOINT_GONE): Kind.ENDPOINT_UNREACHABLE,
-    (State.CLAIMED, Loss.ENDPOINT_GONE): Kind.ENDPOINT_UNREACHABLE,
-    (State.SENT, Loss.DEADLINE): Kind.DEADLINE,
-    (State.SENT, Loss.ENDPOINT_GONE): Kind.ENDPOINT_LOST,
-    (State.SENT, Loss.SILENCE): Kind.ENDPOINT_LOST,
-    (State.FIRST_BYTE, Loss.DEADLINE): Kind.DEADLINE,
-    (State.FIRST_BYTE, Loss.ENDPOINT_GONE): Kind.ANSWER_CUT,
-    (State.FIRST_BYTE, Loss.SILENCE): Kind.ANSWER_CUT,
-    (State.RECEIVED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
-    (State.ADMITTED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
-    (State.CLAIMED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
-    (State.SENT, Loss.CALLER_GONE): Kind.DEADLINE,
-    (State.FIRST_BYTE, Loss.CALLER_GONE): Kind.DEADLINE,
+KIND_BY_LOSS: dict[tuple[RequestState, Loss], Kind] = {
+    (RequestState.RECEIVED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
+    (RequestState.ADMITTED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
+    (RequestState.CLAIMED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
+    (RequestState.ADMITTED, Loss.ENDPOINT_GONE): Kind.ENDPOINT_UNREACHABLE,
+    (RequestState.CLAIMED, Loss.ENDPOINT_GONE): Kind.ENDPOINT_UNREACHABLE,
+    (RequestState.SENT, Loss.DEADLINE): Kind.DEADLINE,
+    (RequestState.SENT, Loss.ENDPOINT_GONE): Kind.ENDPOINT_LOST,
+    (RequestState.SENT, Loss.SILENCE): Kind.ENDPOINT_LOST,
+    (RequestState.FIRST_BYTE, Loss.DEADLINE): Kind.DEADLINE,
+    (RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE): Kind.ANSWER_CUT,
+    (RequestState.FIRST_BYTE, Loss.SILENCE): Kind.ANSWER_CUT,
+    (RequestState.RECEIVED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
+    (RequestState.ADMITTED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
+    (RequestState.CLAIMED, Loss.CALLER_GONE): Kind.DEADLINE_UNSENT,
+    (RequestState.SENT, Loss.CALLER_GONE): Kind.DEADLINE,
+    (RequestState.FIRST_BYTE, Loss.CALLER_GONE): Kind.DEADLINE,
 }
 
 
@@ -69,15 +69,15 @@
 
 
 # What is found when an endpoint ends while it has a request.
-BROKEN_OFF = frozenset({Kind.ENDPOINT_LOST, Kind.ANSWER_CUT})
+BROKEN_CONNECTION_KINDS = frozenset({Kind.ENDPOINT_LOST, Kind.ANSWER_CUT})
 
 
-def lose(state: State, loss: Loss, reason: str = "") -> Failure:
+def loss_failure(state: RequestState, loss: Loss, reason: str = "") -> Failure:
     """Return what a loss in a state means to the caller."""
-    return Failure(OUTCOMES[(state, loss)], reason or loss.value)
+    return Failure(KIND_BY_LOSS[(state, loss)], reason or loss.value)
 
 
-def admit_maybe(failure: Failure, earlier_send: bool) -> Failure:
+def mark_maybe_ran(failure: Failure, earlier_send: bool) -> Failure:
     """Say "maybe" when an earlier send of the same request may have run.
 
     Failure guarded against: the first send is lost in the middle, the retry is refused, and the
@@ -88,9 +88,9 @@
     return Failure(failure.kind, failure.reason, failure.retry_after, Ran.MAYBE)
 
 
-def broke_off(failure: Failure) -> bool:
+def connection_broke(failure: Failure) -> bool:
     """Tell whether a request was lost as its endpoint closed the connection, not by silence."""
-    return failure.kind in BROKEN_OFF and failure.reason != Loss.SILENCE
+    return failure.kind in BROKEN_CONNECTION_KINDS and failure.reason != Loss.SILENCE
 
 
 def hash_content(body: bytes, *names: str) -> str:
@@ -104,27 +104,27 @@
     return digest.hexdigest()
 
 
-class Caller(Protocol):
+class CallerConnection(Protocol):
     """The caller's end of a request."""
 
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Tell whether the connection to the caller is closed."""
 
 
 @dataclass(frozen=True)
-class Wish:
+class RoutingProfile:
     """What routing needs to know of a request."""
 
     item: str
     tokens: int
     blocks: tuple[int, ...]
     priority: int
-    first_token: float
+    first_token_seconds: float
     domain: str
 
 
 @dataclass(frozen=True)
-class Ask:
+class ModelRequest:
     """A request for a model or adapter. ``deadline`` in monotonic seconds."""
 
     request_id: str
@@ -133,7 +133,7 @@
     form: str
     stream: bool
     body: bytes
-    wish: Wish
+    profile: RoutingProfile
     repeatable: bool
     deadline: float
     traceparent: str
@@ -141,11 +141,11 @@
     @property
     def content_id(self) -> str:
         """Return what all attempts at the same request share; each has another request id."""
-        return hash_content(self.body, self.caller_id, self.path, self.wish.item)
+        return hash_content(self.body, self.caller_id, self.path, self.profile.item)
 
 
 @dataclass(frozen=True)
-class ServiceAsk:
+class ServiceRequest:
     """A call to a plain service, to be carried whole."""
 
     request_id: str
--- a/peridotdock/retries.py
+++ b/peridotdock/retries.py
@@ -1,7 +1,7 @@
 """The retry budget: retries are a share of first sends, so they never amplify a failure."""
 
-SHARE = 0.1
-BURST = 10.0
+RETRY_SHARE = 0.1
+RETRY_BURST = 10.0
 MAX_SENDS = 3
 
 
@@ -12,7 +12,7 @@
     for each host.
     """
 
-    def __init__(self, share: float = SHARE, burst: float = BURST):
+    def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST):
         self._share = share
         self._burst = burst
         self._level = burst
--- a/peridotdock/routing.py
+++ b/peridotdock/routing.py
@@ -13,19 +13,19 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.fleet import STALE_SECONDS, EndpointState
 from peridotdock.prefix import BLOCK_TOKENS
-from peridotdock.requests import Wish
+from peridotdock.requests import RoutingProfile
 
-NEAR_SECONDS = 0.0002
-FAR_SECONDS = 0.002
+SAME_DOMAIN_SECONDS = 0.0002
+OTHER_DOMAIN_SECONDS = 0.002
 STALE_PENALTY_SECONDS = 0.2
 FRESH_SECONDS = 1.0
-SAMPLE = 3
-SAMPLE_ABOVE = 9
-SCAN_MOST = 64
+SAMPLE_SIZE = 3
+MAX_UNSAMPLED = 9
+MAX_PREFIX_SCAN = 64
 TIE_SECONDS = 0.01
 TIE_SHARE = 0.1
 UNLOADED_RETRY_SECONDS = 2.0
-EVERY_DECISION = frozenset({"affinity", "correction", "prediction", "spread"})
+ROUTING_DECISIONS = frozenset({"affinity", "correction", "prediction", "spread"})
 # Share of the target that the predicted wait may take, by priority 0 to 9. Low classes leave
 # room, so that a burst sheds them first and what was promised to high classes still holds.
 ALLOWED_SHARE = (0.5, 0.55, 0.6, 0.65, 0.7, 0.75, 0.85, 0.95, 1.0, 1.05)
@@ -36,43 +36,45 @@
     """An endpoint and what was predicted for it: seconds to the first token, cached tokens."""
 
     state: EndpointState
-    predicted: float
+    predicted_seconds: float
     cached: int
 
 
-def usable(state: EndpointState, now: float) -> bool:
+def is_usable(state: EndpointState, now: float) -> bool:
     """Tell whether new work may go to an endpoint."""
-    return may_choose(state, now) and state.bad_until <= now
+    return accepts_requests(state, now) and state.bad_until <= now
 
 
-def may_choose(state: EndpointState, now: float) -> bool:
+def accepts_requests(state: EndpointState, now: float) -> bool:
     """Tell whether an endpoint may get new work although it failed lately."""
     return not state.down and not state.leaving and state.rests_until <= now
 
 
-def find_retry(
-    candidates: Sequence[EndpointState], now: float, least: float = UNLOADED_RETRY_SECONDS
+def find_retry_delay(
+    candidates: Sequence[EndpointState], now: float, minimum: float = UNLOADED_RETRY_SECONDS
 ) -> float:
     """Return when to come back where no endpoint takes work: when the first has rested."""
     rests = [s.rests_until - now for s in candidates if not s.down and not s.leaving]
-    return max(least, min(rests, default=0.0))
+    return max(minimum, min(rests, default=0.0))
 
 
-def expect_cached(state: EndpointState, wish: Wish, now: float) -> int:
+def expect_cached(state: EndpointState, profile: RoutingProfile, now: float) -> int:
     """Return the prompt tokens thought to be cached there, cut by the trust in the hints."""
-    hits = state.hit_blocks(wish.blocks, now) * BLOCK_TOKENS
-    return min(wish.tokens, int(hits * state.trust))
+    hits = state.hit_blocks(profile.blocks, now) * BLOCK_TOKENS
+    return min(profile.tokens, int(hits * state.trust))
 
 
-def predict(state: EndpointState, wish: Wish, now: float, using: frozenset[str]) -> Choice:
+def predict(
+    state: EndpointState, profile: RoutingProfile, now: float, decisions: frozenset[str]
+) -> Choice:
     """Predict the time to the first token on one endpoint."""
-    cached = expect_cached(state, wish, now) if "affinity" in using else 0
-    in_system, prefill = estimate_load(state, now, "correction" in using)
+    cached = expect_cached(state, profile, now) if "affinity" in decisions else 0
+    in_system, prefill = estimate_load(state, now, "correction" in decisions)
     load = state.load
     over = max(0, in_system + 1 - load.batch_limit)
     wait = over * state.mean_seconds / max(1, load.batch_limit)
-    fill = (prefill + wish.tokens - cached) / max(1.0, load.prefill_rate)
-    distance = NEAR_SECONDS if state.domain == wish.domain else FAR_SECONDS
+    fill = (prefill + profile.tokens - cached) / max(1.0, load.prefill_rate)
+    distance = SAME_DOMAIN_SECONDS if state.domain == profile.domain else OTHER_DOMAIN_SECONDS
     stale = STALE_PENALTY_SECONDS if now - state.load_at > STALE_SECONDS else 0.0
     return Choice(state, wait + fill + distance + stale, cached)
 
@@ -95,54 +97,59 @@
 
 def choose(
     candidates: Sequence[EndpointState],
-    wish: Wish,
+    profile: RoutingProfile,
     now: float,
     rng: random.Random,
-    using: frozenset[str] = EVERY_DECISION,
+    decisions: frozenset[str] = ROUTING_DECISIONS,
 ) -> Choice | Failure:
     """Choose among the endpoints that hold the item."""
-    near_ones = sample(candidates, wish, rng) if len(candidates) > SAMPLE_ABOVE else candidates
-    open_ones = [state for state in near_ones if usable(state, now)]
-    if not open_ones and near_ones is not candidates:
-        open_ones = [state for state in candidates if usable(state, now)][:SAMPLE_ABOVE]
-    if not open_ones:
+    sampled = sample(candidates, profile, rng) if len(candidates) > MAX_UNSAMPLED else candidates
+    usable = [state for state in sampled if is_usable(state, now)]
+    if not usable and sampled is not candidates:
+        usable = [state for state in candidates if is_usable(state, now)][:MAX_UNSAMPLED]
+    if not usable:
         # Ejecting all would turn a shared fault into an outage of our own making: when none is
         # left, those that only failed lately are tried again.
-        open_ones = [s for s in candidates if may_choose(s, now)]
-    if not open_ones:
-        return Failure(Kind.NO_ENDPOINT, wish.item, find_retry(candidates, now))
-    if "prediction" not in using:
-        return predict(rng.choice(open_ones), wish, now, using)
-    choices = [predict(state, wish, now, using) for state in open_ones]
-    best = min(choices, key=lambda choice: choice.predicted)
-    if "spread" not in using:
+        usable = [s for s in candidates if accepts_requests(s, now)]
+    if not usable:
+        return Failure(Kind.NO_ENDPOINT, profile.item, find_retry_delay(candidates, now))
+    if "prediction" not in decisions:
+        return predict(rng.choice(usable), profile, now, decisions)
+    choices = [predict(state, profile, now, decisions) for state in usable]
+    best = min(choices, key=lambda choice: choice.predicted_seconds)
+    if "spread" not in decisions:
         return best
     # Hosts that see the same lagging report would all send to the same one; near ties are
     # broken at random, so they spread.
-    limit = best.predicted * (1 + TIE_SHARE) + TIE_SECONDS
-    near = [c for c in choices if c.predicted <= limit and c.cached >= best.cached]
-    return rng.choice(near)
+    limit = best.predicted_seconds * (1 + TIE_SHARE) + TIE_SECONDS
+    near_ties = [c for c in choices if c.predicted_seconds <= limit and c.cached >= best.cached]
+    return rng.choice(near_ties)
 
 
-def sample(states: Sequence[EndpointState], wish: Wish, rng: random.Random) -> list[EndpointState]:
+def sample(
+    states: Sequence[EndpointState], profile: RoutingProfile, rng: random.Random
+) -> list[EndpointState]:
     """Return a few at random and the one that seems to hold most of the prefix."""
-    few = rng.sample(states, SAMPLE)
-    if wish.blocks and len(states) <= SCAN_MOST:
-        first = wish.blocks[0]
-        few += [state for state in states if first in state.blocks][:SAMPLE]
-    return list(dict.fromkeys(few))
+    chosen = rng.sample(states, SAMPLE_SIZE)
+    if profile.blocks and len(states) <= MAX_PREFIX_SCAN:
+        first = profile.blocks[0]
+        chosen += [state for state in states if first in state.blocks][:SAMPLE_SIZE]
+    return list(dict.fromkeys(chosen))
 
 
-def admit(choice: Choice, wish: Wish) -> Failure | None:
+def admit(choice: Choice, profile: RoutingProfile) -> Failure | None:
     """Refuse now what would miss its target anyway, with the time after which it would not.
 
     A request that misses is a penalty and delays those after it. Its own prefill is not held
     against it when it would be late even on an idle engine: that is not a matter of load.
     """
     load = choice.state.load
-    alone = (wish.tokens - choice.cached) / max(1.0, load.prefill_rate)
-    allowed = max(wish.first_token * ALLOWED_SHARE[wish.priority], alone + FAR_SECONDS * 2)
-    late = choice.predicted - allowed
-    if late <= 0:
+    unloaded = (profile.tokens - choice.cached) / max(1.0, load.prefill_rate)
+    allowed = max(
+        profile.first_token_seconds * ALLOWED_SHARE[profile.priority],
+        unloaded + OTHER_DOMAIN_SECONDS * 2,
+    )
+    excess = choice.predicted_seconds - allowed
+    if excess <= 0:
         return None
-    return Failure(Kind.OVERLOADED, f"predicted {choice.predicted:.2f} s", max(0.1, late))
+    return Failure(Kind.OVERLOADED, f"predicted {choice.predicted_seconds:.2f} s", max(0.1, excess))
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -10,17 +10,17 @@
 from peridotdock.fleet import EndpointState, Fleet
 from peridotdock.requests import (
     RETRY_KINDS,
-    Caller,
+    CallerConnection,
     Loss,
     Reply,
-    ServiceAsk,
-    State,
-    admit_maybe,
-    lose,
+    ServiceRequest,
+    RequestState,
+    mark_maybe_ran,
+    loss_failure,
 )
 from peridotdock.retries import MAX_SENDS, RetryBudget
-from peridotdock.routing import find_retry
-from peridotdock.streams import SLICE_SECONDS
+from peridotdock.routing import find_retry_delay
+from peridotdock.streams import CHECK_INTERVAL_SECONDS
 
 HOP_HEADERS = frozenset(
     {
@@ -42,7 +42,7 @@
 # Seconds until a caller may come back when no endpoint of a service takes a call.
 RETRY_SECONDS = 1.0
 # The server that answers the caller writes these itself.
-OWN_HEADERS = HOP_HEADERS | {"content-type", "date", "server"}
+SERVER_HEADERS = HOP_HEADERS | {"content-type", "date", "server"}
 
 
 class ServiceCaller:
@@ -55,13 +55,13 @@
         self._budget = budget
         self.services: dict[str, frozenset[str]] = {}
 
-    async def run(self, ask: ServiceAsk, caller: Caller) -> Reply | Failure:
+    async def run(self, req: ServiceRequest, caller: CallerConnection) -> Reply | Failure:
         """Carry a call to a plain service; only one that may be repeated is sent again."""
-        maybe = False
+        maybe_ran = False
         tried: set[str] = set()
-        outcome: Reply | Failure = self._refuse(ask)
+        outcome: Reply | Failure = self._no_endpoint(req)
         for attempt in range(MAX_SENDS):
-            state = self._choose_service(ask, tried)
+            state = self._choose_endpoint(req, tried)
             if state is None:
                 break
             if attempt == 0:
@@ -70,60 +70,62 @@
                 break
             tried.add(state.name)
             self._ctx.metrics.sends.labels(str(attempt + 1)).inc()
-            outcome = await self._call_once(ask, state, caller)
+            outcome = await self._call_once(req, state, caller)
             if not failed(outcome):
                 state.succeeded()
                 return outcome
-            maybe = maybe or outcome.may_have_run
+            maybe_ran = maybe_ran or outcome.may_have_run
             now = self._ctx.clock.monotonic()
             if outcome.kind is Kind.ENDPOINT_REFUSED:
                 state.refused(outcome, now)
             else:
                 state.failed_at(now)
-            if outcome.kind not in RETRY_KINDS or not (ask.repeatable or not maybe):
+            if outcome.kind not in RETRY_KINDS or not (req.repeatable or not maybe_ran):
                 break
-        return admit_maybe(outcome, maybe) if failed(outcome) else outcome
+        return mark_maybe_ran(outcome, maybe_ran) if failed(outcome) else outcome
 
-    def _serving(self, ask: ServiceAsk) -> list[EndpointState]:
+    def _service_endpoints(self, req: ServiceRequest) -> list[EndpointState]:
         """Return the endpoints of a service."""
-        names = self.services.get(ask.service, ())
+        names = self.services.get(req.service, ())
         return [state for state in self._fleet.states.values() if state.name in names]
 
-    def _refuse(self, ask: ServiceAsk) -> Failure:
+    def _no_endpoint(self, req: ServiceRequest) -> Failure:
         """Return the refusal of a call where no endpoint takes one."""
         now = self._ctx.clock.monotonic()
-        retry = find_retry(self._serving(ask), now, RETRY_SECONDS)
-        return Failure(Kind.NO_ENDPOINT, ask.service, retry)
+        retry = find_retry_delay(self._service_endpoints(req), now, RETRY_SECONDS)
+        return Failure(Kind.NO_ENDPOINT, req.service, retry)
 
-    def _choose_service(self, ask: ServiceAsk, tried: set[str]) -> EndpointState | None:
+    def _choose_endpoint(self, req: ServiceRequest, tried: set[str]) -> EndpointState | None:
         now = self._ctx.clock.monotonic()
-        states = self._serving(ask)
+        states = self._service_endpoints(req)
         states = [s for s in states if s.name not in tried]
         states = [s for s in states if not s.leaving and s.rests_until <= now]
         ready = [s for s in states if s.bad_until <= now and not s.down] or states
         return min(ready, key=lambda s: (len(s.own), self._ctx.rng.random()), default=None)
 
     async def _call_once(
-        self, ask: ServiceAsk, state: EndpointState, caller: Caller
+        self, req: ServiceRequest, state: EndpointState, caller: CallerConnection
     ) -> Reply | Failure:
-        headers = {k: v for k, v in ask.headers.items() if k.lower() not in HOP_HEADERS}
-        headers["x-request-id"] = ask.request_id
-        call = Call(ask.method, ask.path, headers, ask.body, once=not ask.repeatable)
-        state.began(ask.request_id, self._ctx.clock.monotonic(), 0)
+        headers = {k: v for k, v in req.headers.items() if k.lower() not in HOP_HEADERS}
+        headers["x-request-id"] = req.request_id
+        call = Call(req.method, req.path, headers, req.body, once=not req.repeatable)
+        state.began(req.request_id, self._ctx.clock.monotonic(), 0)
         whole = False
         try:
-            reply = await self._wait_service(self._exchange(state, call, ask), ask, caller)
+            reply = await self._wait_for_reply(self._exchange(state, call, req), req, caller)
             whole = not failed(reply)
             return reply
         finally:
-            state.finished(ask.request_id, self._ctx.clock.monotonic(), whole)
+            state.finished(req.request_id, self._ctx.clock.monotonic(), whole)
 
-    async def _exchange(self, state: EndpointState, call: Call, ask: ServiceAsk) -> Reply | Failure:
+    async def _exchange(
+        self, state: EndpointState, call: Call, req: ServiceRequest
+    ) -> Reply | Failure:
         opened = await self._endpoints.open(state.url, call)
         if failed(opened):
             return opened
         try:
-            if opened.headers.get("x-request-id", ask.request_id) != ask.request_id:
+            if opened.headers.get("x-request-id", req.request_id) != req.request_id:
                 return Failure(Kind.WRONG_ANSWER, "answer of another request")
             body = await read_all(opened)
         finally:
@@ -131,29 +133,32 @@
         if failed(body):
             return body
         content_type = opened.headers.get("content-type", "application/octet-stream")
-        return Reply(opened.status, pass_headers(opened.headers), body, content_type)
+        return Reply(opened.status, filter_headers(opened.headers), body, content_type)
 
-    async def _wait_service(
-        self, work: Coroutine[Any, Any, Reply | Failure], ask: ServiceAsk, caller: Caller
+    async def _wait_for_reply(
+        self,
+        work: Coroutine[Any, Any, Reply | Failure],
+        req: ServiceRequest,
+        caller: CallerConnection,
     ) -> Reply | Failure:
         """Wait until the deadline; a plain service cannot be asked how far it is."""
         task = asyncio.ensure_future(work)
         try:
             while True:
-                left = ask.deadline - self._ctx.clock.monotonic()
-                await asyncio.wait({task}, timeout=max(0.0, min(SLICE_SECONDS, left)))
+                left = req.deadline - self._ctx.clock.monotonic()
+                await asyncio.wait({task}, timeout=max(0.0, min(CHECK_INTERVAL_SECONDS, left)))
                 if task.done():
                     return task.result()
                 if left <= 0:
-                    return lose(State.SENT, Loss.DEADLINE)
-                if caller.gone():
-                    return lose(State.SENT, Loss.CALLER_GONE)
+                    return loss_failure(RequestState.SENT, Loss.DEADLINE)
+                if caller.disconnected():
+                    return loss_failure(RequestState.SENT, Loss.CALLER_GONE)
         finally:
             if not task.done():
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
 
-def pass_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+def filter_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
     """Return the headers of an answer that go on to the caller."""
-    return tuple((k, v) for k, v in headers.items() if k.lower() not in OWN_HEADERS)
+    return tuple((k, v) for k, v in headers.items() if k.lower() not in SERVER_HEADERS)
--- a/peridotdock/serving.py
+++ b/peridotdock/serving.py
@@ -11,7 +11,7 @@
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
 from peridotdock.errors import Failure, Kind
-from peridotdock.turns import ACCEPTS_PER_TURN, find_turns
+from peridotdock.loop_iterations import ACCEPTS_PER_ITERATION, find_iterations
 
 # Connections that may wait with the kernel; beyond them a caller's first packet is dropped, and it
 # tries again after a second.
@@ -29,9 +29,9 @@
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
 )
 # Turns of the loop from the one that sets a connection up to its first read.
-FIRST_READ_TURNS = 1
+FIRST_READ_ITERATIONS = 1
 # In a request's scope: the earliest monotonic time at which it can have come.
-CAME = "came"
+ARRIVAL_KEY = "came"
 
 Handler = Callable[[Request], Awaitable[Response]]
 
@@ -50,23 +50,23 @@
     app.router.add(method, path, handle)
 
 
-async def read_body(request: Request, most: int) -> bytes | Failure:
+async def read_body(request: Request, max_bytes: int) -> bytes | Failure:
     """Read a body of at most ``most`` bytes; a longer one is refused before it is held whole."""
-    too_large = Failure(Kind.TOO_LARGE, f"at most {most} bytes")
+    too_large = Failure(Kind.TOO_LARGE, f"at most {max_bytes} bytes")
     length = request.get_first_header(b"content-length")
-    if length is not None and length.isdigit() and int(length) > most:
+    if length is not None and length.isdigit() and int(length) > max_bytes:
         return too_large
     parts: list[bytes] = []
     size = 0
     async for part in request.stream():
         size += len(part)
-        if size > most:
+        if size > max_bytes:
             return too_large
         parts.append(part)
     return b"".join(parts)
 
 
-class _QuietServer(uvicorn.Server):
+class _SignalFreeServer(uvicorn.Server):
     """A server that leaves signals to the daemon."""
 
     @contextmanager
@@ -74,7 +74,7 @@
         yield
 
 
-class Connection(HttpToolsProtocol):
+class TimedConnection(HttpToolsProtocol):
     """A connection that knows since when a request read from it can have waited unread.
 
     Failure guarded against: the loop is behind, requests lie with the kernel, and their time counts
@@ -85,9 +85,9 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Note when the connection can have come; its first request may have come with it."""
         super().connection_made(transport)
-        self._turns = find_turns()
-        self._came = self._turns.accept()
-        self._after_first = self._turns.count + FIRST_READ_TURNS + 1
+        self._iterations = find_iterations()
+        self._arrived_at = self._iterations.count_accept()
+        self._after_first_read = self._iterations.count + FIRST_READ_ITERATIONS + 1
 
     def on_message_begin(self) -> None:
         """Note for the request that begins when it can have come.
@@ -95,8 +95,10 @@
         One that was not there at the connection's first read came later.
         """
         super().on_message_begin()
-        with_connection = self._turns.count < self._after_first
-        self.scope[CAME] = self._came if with_connection else self._turns.since()
+        with_connection = self._iterations.count < self._after_first_read
+        self.scope[ARRIVAL_KEY] = (
+            self._arrived_at if with_connection else self._iterations.earliest_arrival()
+        )
 
 
 def bind_socket(ip: str, port: int) -> socket.socket:
@@ -117,13 +119,13 @@
         app: Application,
         ip: str = "127.0.0.1",
         port: int = 0,
-        more: Iterable[tuple[str, int]] = (),
+        more_addresses: Iterable[tuple[str, int]] = (),
     ):
         self.app = app
-        self._socks = [bind_socket(*address) for address in ((ip, port), *more)]
+        self._socks = [bind_socket(*address) for address in ((ip, port), *more_addresses)]
         self.address = "{}:{}".format(*self._socks[0].getsockname())
         self.url = f"http://{self.address}"
-        self._server: _QuietServer | None = None
+        self._server: _SignalFreeServer | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> "Server":
@@ -132,18 +134,18 @@
         cfg = uvicorn.Config(
             self._serve,
             loop="asyncio",
-            http=Connection,
+            http=TimedConnection,
             lifespan="off",
             interface="asgi3",
             proxy_headers=False,
             log_config=None,
             access_log=False,
-            backlog=ACCEPTS_PER_TURN,
+            backlog=ACCEPTS_PER_ITERATION,
             server_header=False,
             timeout_keep_alive=KEEP_ALIVE_SECONDS,
             timeout_graceful_shutdown=1,
         )
-        self._server = _QuietServer(cfg)
+        self._server = _SignalFreeServer(cfg)
         self._task = asyncio.create_task(self._server.serve(sockets=self._socks))
         while not self._server.started:
             if self._task.done():
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -16,14 +16,14 @@
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.fleet import EndpointState
-from peridotdock.requests import Ask, Caller, Loss, State, lose
+from peridotdock.requests import ModelRequest, CallerConnection, Loss, RequestState, loss_failure
 
 SEPARATOR = b"\n\n"
 DATA = b"data: "
 DONE = b"[DONE]"
 MAX_FRAME_BYTES = 1024 * 1024
 MAX_RESUMES = 5
-SLICE_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
     usage: FrameUsage | None = None
 
 
-HEAD = msgspec.json.Decoder(FrameHead)
+HEAD_DECODER = msgspec.json.Decoder(FrameHead)
 
 
 def read_head(data: bytes, request_id: str) -> FrameHead | Failure:
@@ -60,7 +60,7 @@
     another's. The engine names the request in each frame; any other name ends the attempt.
     """
     try:
-        head = HEAD.decode(data)
+        head = HEAD_DECODER.decode(data)
     except msgspec.MsgspecError as exc:
         return Failure(Kind.ENDPOINT_ERROR, f"unreadable answer: {exc}")
     if head.id != request_id:
@@ -68,11 +68,11 @@
     return head
 
 
-class Silent(Exception):
+class StreamSilent(Exception):
     """No byte came for the time allowed."""
 
 
-class Relay:
+class StreamRelay:
     """One streamed answer on its way to a caller."""
 
     def __init__(
@@ -80,17 +80,17 @@
         ctx: Context,
         endpoints: HttpEndpoints,
         state: EndpointState,
-        ask: Ask,
-        caller: Caller,
+        req: ModelRequest,
+        caller: CallerConnection,
     ):
         self._ctx = ctx
         self._endpoints = endpoints
         self._state = state
-        self._ask = ask
+        self._req = req
         self._caller = caller
         self._opened: Opened | None = None
         self._buffer = b""
-        self._next = 0
+        self._next_offset = 0
         self._resumes = 0
         self.usage: FrameUsage | None = None
         self.whole = False
@@ -107,14 +107,14 @@
             return
         await opened.release()
         if not self.whole:
-            self._endpoints.cancel(self._state.url, self._ask.request_id)
+            self._endpoints.cancel(self._state.url, self._req.request_id)
 
     async def frames(self) -> AsyncIterator[bytes | Failure]:
         """Give each frame once; a failure is the last thing given."""
         while True:
             found = await self._next_frame()
             if failed(found):
-                found = await self._mend(found)
+                found = await self._recover(found)
                 if failed(found):
                     yield found
                     return
@@ -136,7 +136,7 @@
             return frame + SEPARATOR
         if not data:
             return b""
-        head = read_head(data, self._ask.request_id)
+        head = read_head(data, self._req.request_id)
         if failed(head):
             return head
         if head.usage is not None:
@@ -145,12 +145,12 @@
                 return b""
             self.usage = head.usage
         if head.offset is not None:
-            if head.offset < self._next:
+            if head.offset < self._next_offset:
                 self._ctx.metrics.late_frames.inc()
                 return b""
-            if head.offset > self._next:
-                return Failure(Kind.ANSWER_CUT, f"frame {self._next} is missing")
-            self._next += 1
+            if head.offset > self._next_offset:
+                return Failure(Kind.ANSWER_CUT, f"frame {self._next_offset} is missing")
+            self._next_offset += 1
         return frame + SEPARATOR
 
     async def _next_frame(self) -> bytes | Failure:
@@ -159,7 +159,7 @@
                 return Failure(Kind.ENDPOINT_ERROR, "a frame is too long")
             try:
                 part = await self._read()
-            except Silent:
+            except StreamSilent:
                 return Failure(Kind.ANSWER_CUT, Loss.SILENCE)
             except BROKEN as exc:
                 return Failure(Kind.ANSWER_CUT, type(exc).__name__)
@@ -174,35 +174,37 @@
     async def _read(self) -> bytes | Failure:
         """Read some bytes, looking out for deadline, silence and a caller that has gone."""
         clock = self._ctx.clock
-        silent_at = clock.monotonic() + self._ctx.cfg.silence_seconds
+        silence_deadline = clock.monotonic() + self._ctx.cfg.silence_seconds
         while True:
             now = clock.monotonic()
-            if self._caller.gone():
-                return lose(State.FIRST_BYTE, Loss.CALLER_GONE)
-            if now >= self._ask.deadline:
-                return lose(State.FIRST_BYTE, Loss.DEADLINE)
-            if now >= silent_at:
-                raise Silent
-            wait = min(SLICE_SECONDS, silent_at - now, self._ask.deadline - now)
+            if self._caller.disconnected():
+                return loss_failure(RequestState.FIRST_BYTE, Loss.CALLER_GONE)
+            if now >= self._req.deadline:
+                return loss_failure(RequestState.FIRST_BYTE, Loss.DEADLINE)
+            if now >= silence_deadline:
+                raise StreamSilent
+            wait = min(CHECK_INTERVAL_SECONDS, silence_deadline - now, self._req.deadline - now)
             try:
                 async with asyncio.timeout(wait):
                     return await self._opened.read_some()
             except TimeoutError:
                 continue
 
-    async def _mend(self, failure: Failure) -> Failure | None:
+    async def _recover(self, failure: Failure) -> Failure | None:
         """Find out what became of a stream that broke off or went silent, and go on with it."""
         if failure.kind is not Kind.ANSWER_CUT:
             return failure
         silent = failure.reason == Loss.SILENCE
-        found = await self._endpoints.probe(self._state.url, self._ask.request_id)
+        found = await self._endpoints.probe(self._state.url, self._req.request_id)
         if failed(found) or found is None:
-            return lose(State.FIRST_BYTE, Loss.SILENCE if silent else Loss.ENDPOINT_GONE)
-        if silent and found.tokens <= self._next and not found.done:
+            return loss_failure(
+                RequestState.FIRST_BYTE, Loss.SILENCE if silent else Loss.ENDPOINT_GONE
+            )
+        if silent and found.tokens <= self._next_offset and not found.done:
             # The engine is slow, not lost: it has no more than the caller already got.
             return None
         if self._resumes >= MAX_RESUMES:
-            return lose(State.FIRST_BYTE, Loss.ENDPOINT_GONE, "resumed too often")
+            return loss_failure(RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE, "resumed too often")
         self._resumes += 1
         return await self._resume(silent)
 
@@ -211,16 +213,16 @@
             self._endpoints.suspect(self._state.url)
         if self._opened is not None:
             await self._opened.release()
-        query = f"?offset={self._next}&form={self._ask.form}"
-        path = f"/v1/streams/{self._ask.request_id}{query}"
+        query = f"?offset={self._next_offset}&form={self._req.form}"
+        path = f"/v1/streams/{self._req.request_id}{query}"
         opened = await self._endpoints.open(self._state.url, Call("GET", path, {}, b"", False))
         if failed(opened) or opened.status != 200:
-            return lose(State.FIRST_BYTE, Loss.ENDPOINT_GONE, "not resumed")
+            return loss_failure(RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE, "not resumed")
         self.attach(opened)
         self._ctx.timeline.add(
             "stream_resumed",
-            request=self._ask.request_id,
+            request=self._req.request_id,
             endpoint=self._state.name,
-            detail=f"at {self._next}",
+            detail=f"at {self._next_offset}",
         )
         return None
--- a/peridotdock/trials.py
+++ b/peridotdock/trials.py
@@ -20,21 +20,21 @@
     def __init__(self, ctx: Context, may_try: Callable[[], bool]):
         self._ctx = ctx
         self._may_try = may_try
-        self._ask: Any = None
+        self._req: Any = None
         self._until = float("-inf")
 
-    def allows(self, ask: Any) -> bool:
+    def allows(self, req: Any) -> bool:
         """Tell whether a blocked request may be sent as a trial, or is on trial already."""
         now = self._ctx.clock.monotonic()
-        if self._ask is ask:
+        if self._req is req:
             return True
         if now < self._until or not self._may_try():
             return False
-        self._ask, self._until = ask, now + TRIAL_SECONDS
-        self._ctx.timeline.add("request_tried", detail=f"content {ask.content_id}")
+        self._req, self._until = req, now + TRIAL_SECONDS
+        self._ctx.timeline.add("request_tried", detail=f"content {req.content_id}")
         return True
 
-    def end(self, ask: Any) -> None:
+    def end(self, req: Any) -> None:
         """Note that a request has shown what it does: the next one may be tried."""
-        if self._ask is ask:
-            self._ask, self._until = None, float("-inf")
+        if self._req is req:
+            self._req, self._until = None, float("-inf")
--- a/peridotdock/workspaces.py
+++ b/peridotdock/workspaces.py
@@ -17,13 +17,13 @@
     rate: float
     burst: float
     by_tokens: bool = False
-    plain_units: float = 1.0
+    default_units: float = 1.0
 
     def cost(self, tokens: int) -> float:
         """Return the units of a request that asks for so many tokens, 0 where it doesn't say."""
         if not self.by_tokens:
             return 1.0
-        return float(tokens) if tokens > 0 else self.plain_units
+        return float(tokens) if tokens > 0 else self.default_units
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/relay/test_adapter.py
+++ b/tests/relay/test_adapter.py
@@ -104,7 +104,7 @@
     def test_a_route_keeps_what_it_promises(self):
         route = decode().match("shop.example", "/a/b/c")
         self.assertEqual((RouteKind.STREAM, 6.0, 0.8), (route.kind, route.timeout, route.target))
-        self.assertEqual((True, 2, 3.2), (route.repeatable, route.max_sends, route.patience))
+        self.assertEqual((True, 2, 3.2), (route.repeatable, route.max_sends, route.stall_timeout))
 
     @params(
         ("/a/b/c", "long"),
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -207,7 +207,7 @@
 SPEC = EngineSpec(
     slots=64,
     weights_mb=200.0,
-    adapter_places=4,
+    adapter_slots=4,
     cache_tokens=200_000,
     cache_token_bytes=1.0,
     loads_per_second=1.1,
@@ -355,7 +355,7 @@
                 if action == Action.LOAD and not adapter:
                     now = next(e for e in engines if e.key == key)
                     total = sum(SPEC.models[m].weights_mb for m in {*now.models, name})
-                    self.assertLessEqual(total + SPEC.adapter_places, SPEC.weights_mb)
+                    self.assertLessEqual(total + SPEC.adapter_slots, SPEC.weights_mb)
 
     def test_a_crowded_model_takes_the_room_of_an_idle_one(self):
         """Callers of two busy models wait seconds at one engine while the others idle.
@@ -419,7 +419,7 @@
     @params((1.2, True), (5.8, False))
     def test_a_quick_load_is_called_for_sooner(self, load, copied):
         """Requests wait a second at one engine while others rest, though a load takes no longer."""
-        models = {name: replace(row, load=load) for name, row in SPEC.models.items()}
+        models = {name: replace(row, load_seconds=load) for name, row in SPEC.models.items()}
         spec = replace(SPEC, weights_mb=140.0, models=models)
         on_disk = frozenset(NAMES)
         engines = [engine("a", "m0", "m1"), engine("b", "m2", "m3", on_disk=on_disk)]
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -11,7 +11,7 @@
 from peridotdock.events import Filter
 from peridotdock.relay.lag import TROUBLE_LOOK_SECONDS, DescriptorCount, LagWatch
 from peridotdock.schema.settings import Settings
-from peridotdock.turns import Turns, WatchedLoop
+from peridotdock.loop_iterations import LoopIterations, MeasuredLoop
 from tests.fakes import FakeClock
 
 CFG = Settings("h1", "north", "http://unused", "a key of sixteen")
@@ -21,7 +21,7 @@
 
 
 def run(work):
-    with asyncio.Runner(loop_factory=WatchedLoop) as runner:
+    with asyncio.Runner(loop_factory=MeasuredLoop) as runner:
         return runner.run(work)
 
 
@@ -32,12 +32,12 @@
     )
     def test_what_is_read_has_an_earliest_time(self, name, busy, idle, expected):
         clock = FakeClock()
-        turns = Turns(clock.monotonic)
+        turns = LoopIterations(clock.monotonic)
         clock.time += busy
         turns.end()
         clock.time += idle
         turns.begin(None)
-        self.assertAlmostEqual(expected, clock.time - turns.since(), msg=name)
+        self.assertAlmostEqual(expected, clock.time - turns.earliest_arrival(), msg=name)
 
     @params(
         ("a long turn", 0.7, 0.0, 0.0, 0.7),
@@ -46,7 +46,7 @@
     )
     def test_lag_is_how_late_a_timer_was(self, name, busy, waited, timeout, expected):
         clock = FakeClock()
-        turns = Turns(clock.monotonic)
+        turns = LoopIterations(clock.monotonic)
         clock.time += busy
         turns.end()
         clock.time += waited
@@ -63,7 +63,7 @@
             loop.call_soon(time.sleep, 0.15)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            return loop.turns.lag()
+            return loop.iterations.lag()
 
         self.assertGreaterEqual(run(check()), 0.15)
 
@@ -77,7 +77,7 @@
     def watch(self, count=COUNT):
         clock = FakeClock()
         ctx = build_context(CFG, clock)
-        turns = Turns(clock.monotonic)
+        turns = LoopIterations(clock.monotonic)
         return clock, ctx, turns, LagWatch(ctx, turns, lambda: 7, lambda: count)
 
     def hold(self, clock, turns, seconds):
--- a/tests/relay/test_late.py
+++ b/tests/relay/test_late.py
@@ -87,7 +87,7 @@
         models = [SPEC.models[name] for name in self.models]
         adapters = [model.adapter_mb for model in models for _ in self.models[model.name]]
         weights = sum(model.weights_mb for model in models) + sum(adapters)
-        return weights > SPEC.weights_mb or len(adapters) > SPEC.adapter_places
+        return weights > SPEC.weights_mb or len(adapters) > SPEC.adapter_slots
 
     async def order(self, entry, order):
         if self.rng.random() >= LOST_SHARE:
--- a/tests/relay/test_logs.py
+++ b/tests/relay/test_logs.py
@@ -20,7 +20,7 @@
     def test_a_reader_that_does_not_read_blocks_nothing(self):
         reader, writer = os.pipe()
         with open(writer, "w") as stream:
-            handler = BoundedHandler(stream, most=50)
+            handler = BoundedHandler(stream, max_lines=50)
             for number in range(5000):
                 handler.emit(record(f"line {number} " + "x" * 100))
             self.assertGreater(handler.lost, 0)
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -10,7 +10,7 @@
 import unittest
 
 from peridotdock.relay.lag import DescriptorCount
-from peridotdock.turns import WatchedLoop
+from peridotdock.loop_iterations import MeasuredLoop
 from tests.relay.deployment import Deployment
 
 HEAD = (
@@ -25,7 +25,7 @@
     """Run an async test on a loop that knows its turns, within half a minute."""
 
     def wrapped(self, *args):
-        with asyncio.Runner(loop_factory=WatchedLoop) as runner:
+        with asyncio.Runner(loop_factory=MeasuredLoop) as runner:
             runner.run(asyncio.wait_for(test(self, *args), 30))
 
     wrapped.__name__ = test.__name__
@@ -105,7 +105,7 @@
             await self.check_counted(found, caller)
 
     def test_a_connection_that_was_opened_early_costs_no_time(self):
-        for make in (WatchedLoop, asyncio.new_event_loop):
+        for make in (MeasuredLoop, asyncio.new_event_loop):
             with asyncio.Runner(loop_factory=make) as runner:
                 runner.run(asyncio.wait_for(self.check_early(), 30))
 
@@ -259,7 +259,7 @@
     @run
     async def test_a_crowd_of_new_connections_shares_the_loop(self):
         async with Deployment() as found:
-            turns = asyncio.get_running_loop().turns
+            turns = asyncio.get_running_loop().iterations
             address = found.hosts[0].settings.listen.callers
             before = turns.accepted
             callers = [Caller(address) for _ in range(300)]
@@ -288,10 +288,10 @@
             taken = []
             for number in range(3):
                 with SlowTurns(0.0):
-                    began = loop.turns.count
+                    began = loop.iterations.count
                     caller.ask("/fetch/", f"a{number}")
                     self.assertEqual(200, (await caller.read())[0])
-                    taken.append(loop.turns.count - began)
+                    taken.append(loop.iterations.count - began)
             caller.close()
             # The caller and the stand-in take their share of the turns.
             self.assertLessEqual(min(taken), 10)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -17,11 +17,11 @@
 from peridotdock.growth import queue_cost, spread_load
 from peridotdock.keys import KEPT_PERIODS, PERIOD_SECONDS, KeyTable, Owner, Record, read_owner
 from peridotdock.ledger import State
-from peridotdock.limits import GRANT_SECONDS, CallerLimits
+from peridotdock.limits import LOAN_SECONDS, CallerLimits
 from peridotdock.membership import Member
 from peridotdock.placement import find_floor_errors, make_plan
 from peridotdock.prefix import BLOCK_CHARS, hash_blocks
-from peridotdock.requests import Reply, Wish
+from peridotdock.requests import Reply, RoutingProfile
 from peridotdock.retries import RetryBudget
 from peridotdock.routing import admit, choose, predict
 from peridotdock.schema.messages import HostFact
@@ -40,13 +40,13 @@
     return found
 
 
-def wish(tokens=800, blocks=(), priority=5, first_token=0.49):
-    return Wish("m0@1", tokens, blocks, priority, first_token, "north")
+def make_profile(tokens=800, blocks=(), priority=5, first_token=0.49):
+    return RoutingProfile("m0@1", tokens, blocks, priority, first_token, "north")
 
 
 class Routing(unittest.TestCase):
     def pick(self, *states, **more):
-        return choose(states, wish(**more), NOW, random.Random(1))
+        return choose(states, make_profile(**more), NOW, random.Random(1))
 
     @params(
         ("idle before busy", state("a"), state("b", running=8, waiting=6)),
@@ -68,14 +68,16 @@
         states = [state("a"), state("b")]
         counts = {"a": 0, "b": 0}
         for number in range(20):
-            found = choose(states, wish(), NOW, random.Random(number))
+            found = choose(states, make_profile(), NOW, random.Random(number))
             found.state.began(f"r{number}", NOW, 800)
             counts[found.state.name] += 1
         self.assertLessEqual(abs(counts["a"] - counts["b"]), 2)
 
     def test_work_done_since_the_report_is_taken_off(self):
         busy = state("a", prefill=4000, at=NOW - 0.5)
-        self.assertLess(predict(busy, wish(), NOW, frozenset({"correction"})).predicted, 0.12)
+        self.assertLess(
+            predict(busy, make_profile(), NOW, frozenset({"correction"})).predicted_seconds, 0.12
+        )
 
     def test_a_cached_prefix_draws_its_requests_and_trust_cuts_it(self):
         text = "x" * BLOCK_CHARS * 8
@@ -130,7 +132,7 @@
             state(f"e{n}", running=load, prefill=fill, down=down, leaving=leaving)
             for n, (down, leaving, load, fill) in enumerate(rows)
         ]
-        found = choose(states, wish(), NOW, random.Random(seed))
+        found = choose(states, make_profile(), NOW, random.Random(seed))
         if failed(found):
             self.assertTrue(all(s.down or s.leaving for s in states))
         else:
@@ -139,8 +141,10 @@
 
 class Admission(unittest.TestCase):
     def decide(self, predicted_prefill, priority=5, tokens=80):
-        found = predict(state("a", prefill=predicted_prefill), wish(tokens), NOW, frozenset())
-        return admit(found, wish(tokens, priority=priority))
+        found = predict(
+            state("a", prefill=predicted_prefill), make_profile(tokens), NOW, frozenset()
+        )
+        return admit(found, make_profile(tokens, priority=priority))
 
     @params((0, None), (1000, None), (8000, Kind.OVERLOADED))
     def test_by_predicted_wait(self, prefill, expected):
@@ -159,8 +163,8 @@
         self.assertGreater(waits[2], waits[0] + 1)
 
     def test_a_long_prompt_is_not_refused_for_its_own_length(self):
-        found = predict(state("a"), wish(40_000), NOW, frozenset())
-        self.assertIsNone(admit(found, wish(40_000)))
+        found = predict(state("a"), make_profile(40_000), NOW, frozenset())
+        self.assertIsNone(admit(found, make_profile(40_000)))
 
 
 class Limits(unittest.TestCase):
@@ -173,7 +177,7 @@
                 st.sampled_from(["offer", "beat", "hear", "lend", "borrow", "wait"]),
                 st.integers(0, 2),
                 st.integers(0, 2),
-                st.floats(0.1, GRANT_SECONDS),
+                st.floats(0.1, LOAN_SECONDS),
             ),
             max_size=60,
         )
@@ -207,7 +211,7 @@
         world.beat(0, 0, 0)
         world.hear(1, 0, 0)
         world.lend(1, 0, 0)
-        world.now += GRANT_SECONDS + 1
+        world.now += LOAN_SECONDS + 1
         world.borrow(0, 1, 0)
         world.lend(1, 0, 0)
         total = sum(limits.allowed("c", 30.0, world.now) for limits in world.limits)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -112,7 +112,7 @@
         engine = self.serving()
         task.cancel()
         await wait_for(lambda: engine.running == 0, "the engine free", 5)
-        await wait_for(lambda: self.cluster.hosts[0].entry.in_work == 0, "no request in work")
+        await wait_for(lambda: self.cluster.hosts[0].entry.in_flight == 0, "no request in work")
 
     async def test_a_deadline_ends_a_request_at_once(self):
         ask = self.cluster.ask(max_tokens=5000, headers={"x-deadline-ms": "200"})
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -33,7 +33,7 @@
     read_body,
     sign,
 )
-from peridotdock.requests import OUTCOMES, State, admit_maybe
+from peridotdock.requests import KIND_BY_LOSS, RequestState, mark_maybe_ran
 from peridotdock.schema.messages import (
     EngineNews,
     Entry,
@@ -196,16 +196,16 @@
     def test_every_kind_has_an_answer(self):
         self.assertEqual(set(ANSWERS), set(Kind))
 
-    @params(*OUTCOMES.items())
+    @params(*KIND_BY_LOSS.items())
     def test_not_run_is_never_said_after_a_send(self, key, kind):
         state, _ = key
-        sent = state in (State.SENT, State.FIRST_BYTE)
+        sent = state in (RequestState.SENT, RequestState.FIRST_BYTE)
         self.assertEqual(ANSWERS[kind].ran is not Ran.NO, sent)
 
     @params((Kind.ENDPOINT_REFUSED, "maybe"), (Kind.ENDPOINT_LOST, "maybe"), (Kind.KEY_RAN, "yes"))
     def test_an_earlier_send_is_not_forgotten(self, kind, ran):
         """The first send is lost, the retry refused: "not run" would be a lie."""
-        body = admit_maybe(Failure(kind), earlier_send=True).describe("r")
+        body = mark_maybe_ran(Failure(kind), earlier_send=True).describe("r")
         self.assertEqual(body["error"]["ran"], ran)
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -198,7 +198,7 @@
                 asyncio.create_task(cluster.ask(host=0, stream=True, max_tokens=80))
                 for _ in range(4)
             ]
-            await wait_for(lambda: cluster.hosts[0].entry.in_work == 4, "streams under way")
+            await wait_for(lambda: cluster.hosts[0].entry.in_flight == 4, "streams under way")
             stopping = asyncio.create_task(cluster.hosts[0].drain())
             left_at = asyncio.get_running_loop().time()
             await wait_for(
@@ -383,4 +383,4 @@
                 self.assertEqual((status, body["error"]["code"]), (400, "bad_request"), more)
             self.assertEqual(sum(len(e.calls) for e in cluster.engines), 0)
             self.assertEqual((await cluster.ask())[0], 200)
-            self.assertEqual(cluster.hosts[0].entry.in_work, 0)
+            self.assertEqual(cluster.hosts[0].entry.in_flight, 0)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -203,10 +203,10 @@
 class Claims(unittest.IsolatedAsyncioTestCase):
     async def test_only_claims_older_than_a_day_are_removed(self):
         platform, table = FakePlatform(), KeyTable("h0-" + "a" * 16, FakeClock(), 10)
-        for key, at in (("old", 0.0), ("new", claims.KEPT_SECONDS)):
+        for key, at in (("old", 0.0), ("new", claims.CLAIM_RETENTION_SECONDS)):
             await claims.find_owner(platform, table, "h0-life", "c", key, at)
-        self.assertEqual(await claims.sweep(platform, claims.KEPT_SECONDS + 1), 1)
-        self.assertEqual(list(platform.rows), [claims.claim_row("c", "new")])
+        self.assertEqual(await claims.sweep(platform, claims.CLAIM_RETENTION_SECONDS + 1), 1)
+        self.assertEqual(list(platform.rows), [claims.claim_row_key("c", "new")])
 
     @params(["ok"], ["lost"], ["late"], ["late", "lost"])
     def test_two_hosts_agree_on_one_owner(self, *faults):
