--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -56,7 +56,7 @@
         ("sound before ejected", state("a", running=8), state("b", bad_until=NOW + 1)),
         ("fresh before stale", state("a"), state("b", at=NOW - 60)),
     )
-    def test_which_one(self, _, better, worse):
+    def test_choice_by_load_and_health(self, _, better, worse):
         for order in ((better, worse), (worse, better)):
             self.assertEqual(self.pick(*order).state.name, "a")
 
@@ -73,13 +73,13 @@
             counts[found.state.name] += 1
         self.assertLessEqual(abs(counts["a"] - counts["b"]), 2)
 
-    def test_work_done_since_the_report_is_taken_off(self):
+    def test_work_done_since_the_report_is_subtracted(self):
         busy = state("a", prefill=4000, at=NOW - 0.5)
         self.assertLess(
             predict(busy, make_profile(), NOW, frozenset({"correction"})).predicted_seconds, 0.12
         )
 
-    def test_a_cached_prefix_draws_its_requests_and_trust_cuts_it(self):
+    def test_a_cached_prefix_attracts_requests_until_hints_fail(self):
         text = "x" * BLOCK_CHARS * 8
         blocks = hash_blocks("m0@1", text)
         warm, cold = state("a"), state("b")
@@ -89,7 +89,7 @@
             warm.learn_hits(1024, 0)
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
-    def test_hints_last_as_long_as_they_have_proved_to(self):
+    def test_cache_hints_expire_after_misses(self):
         """Evictions that nobody told of: after a few misses an old hint counts no more."""
         blocks = hash_blocks("m0@1", "x" * BLOCK_CHARS * 4)
         warm = state("a")
@@ -99,7 +99,7 @@
             warm.learn_hits(500, 0)
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
-    def test_what_is_kept_of_an_endpoint_without_reports_is_bounded(self):
+    def test_records_of_an_endpoint_without_reports_are_bounded(self):
         """A plain service sends no reports, so nothing ever says which sends are old news."""
         service = EndpointState("s", "", "north")
         for number in range(MOST_SENT * 2):
@@ -113,7 +113,7 @@
         found = self.pick(state("a", bad_until=NOW + 9))
         self.assertFalse(failed(found))
 
-    def test_none_left(self):
+    def test_no_endpoint_left(self):
         found = self.pick(state("a", down=True), state("b", leaving=True))
         self.assertEqual(found.kind, Kind.NO_ENDPOINT)
         self.assertGreater(found.retry_after, 0)
@@ -157,7 +157,7 @@
         self.assertIn(False, outcomes)
         self.assertIn(True, outcomes)
 
-    def test_when_to_come_back_grows_with_the_queue(self):
+    def test_the_retry_delay_grows_with_the_queue(self):
         waits = [self.decide(prefill).retry_after for prefill in (8000, 16000, 32000)]
         self.assertEqual(waits, sorted(waits))
         self.assertGreater(waits[2], waits[0] + 1)
@@ -200,7 +200,7 @@
             world.borrow(0, lender, 0)
         self.assertGreater(world.limits[0].allowed("c", 30.0, world.now), 20.0)
 
-    def test_a_loan_that_is_heard_late_is_not_used(self):
+    def test_a_loan_that_arrives_late_is_not_used(self):
         """
         A lends to b, and the word is held up on the way for longer than the loan lasts. A has its
         share back by then. Were b to use the loan from when it heard of it, both would.
@@ -264,8 +264,8 @@
         self.clock = FakeClock()
         self.table = KeyTable("h0-" + "a" * 16, self.clock, 100)
 
-    def begin(self, key, mark=b"m", caller="c", owner=None):
-        return self.table.begin(caller, key, owner or read_owner(key), mark)
+    def begin(self, key, digest=b"m", caller="c", owner=None):
+        return self.table.begin(caller, key, owner or read_owner(key), digest)
 
     def key(self, rest="12345678"):
         return self.table.prefix() + rest
@@ -334,7 +334,7 @@
         ("made up", "h0-" + "a" * 16 + ".7.12345678", Kind.BAD_REQUEST),
         ("old", "h0-" + "a" * 16 + ".0.12345678", Kind.KEY_EXPIRED),
     )
-    def test_prefixes_that_do_not_stand(self, _, key, expected):
+    def test_invalid_prefixes(self, _, key, expected):
         self.clock.advance(PERIOD_SECONDS * KEPT_PERIODS + 1)
         self.assertEqual(self.begin(key).kind, expected)
 
@@ -342,7 +342,7 @@
     def test_keys_without_a_prefix(self, key):
         self.assertIsNone(read_owner(key))
 
-    def test_an_old_claim_proves_nothing(self):
+    def test_an_expired_claim_is_refused(self):
         self.clock.advance(PERIOD_SECONDS * KEPT_PERIODS + 1)
         found = self.begin("plain", owner=Owner("h0-" + "a" * 16, 0))
         self.assertEqual(found.kind, Kind.KEY_EXPIRED)
@@ -439,7 +439,7 @@
         self.assertTrue(plan.unmet)
         self.assertTrue(all(move.reason == "floor" for move in plan.moves))
 
-    def test_a_hot_model_grows_and_comes_to_rest(self):
+    def test_a_hot_model_gets_copies_until_the_plan_is_stable(self):
         accepted = self.sample()
         views, _ = self.follow(accepted, self.views(accepted))
         demand = {"m0@1": 2.5}
@@ -463,7 +463,7 @@
         _, moves = self.follow(accepted, views.values(), {"m0@1": 0.85}.items())
         self.assertEqual(bool(moves), moved)
 
-    def test_a_hot_adapter_brings_its_base_along(self):
+    def test_a_hot_adapter_is_loaded_with_its_base_model(self):
         accepted = self.sample()
         views, _ = self.follow(accepted, self.views(accepted))
         views, _ = self.follow(accepted, views.values(), {"a0@1~m0@1": 3.0}.items())
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -28,7 +28,7 @@
     async def asyncTearDown(self):
         await self.cluster.__aexit__()
 
-    def serving(self):
+    def busy_engine(self):
         return next(e for e in self.cluster.engines if e.running)
 
     async def start_stream(self, **more):
@@ -49,7 +49,7 @@
         over a fresh connection and takes up the stream where the master's copy ends.
         """
         task = await self.start_stream()
-        self.serving().freeze()
+        self.busy_engine().freeze()
         status, _, raw = await task
         texts, ids, whole, errors = read_stream(raw)
         self.assertEqual((status, whole, errors, len(ids)), (200, True, [], 1))
@@ -63,7 +63,7 @@
         head = {"idempotency-key": "scene-0001"}
         task = asyncio.create_task(self.cluster.ask(max_tokens=30, headers=head))
         await wait_for(lambda: any(e.running for e in self.cluster.engines), "a request at work")
-        self.serving().freeze()
+        self.busy_engine().freeze()
         status, _, body = await task
         self.assertEqual(status, 200)
         self.assertEqual(body["usage"]["completion_tokens"], 30)
@@ -103,13 +103,13 @@
             status, _, _ = await self.cluster.ask()
             self.assertEqual(status, 200)
 
-    async def test_a_caller_that_leaves_frees_the_engine(self):
+    async def test_a_disconnected_caller_frees_the_engine(self):
         """
         A caller closes its connection in the middle of a long answer. The engine must not go on
         with it for nobody.
         """
         task = await self.start_stream()
-        engine = self.serving()
+        engine = self.busy_engine()
         task.cancel()
         await wait_for(lambda: engine.running == 0, "the engine free", 5)
         await wait_for(lambda: self.cluster.hosts[0].entry.in_flight == 0, "no request in work")
@@ -121,7 +121,7 @@
         engines = self.cluster.engines
         await wait_for(lambda: not any(e.running for e in engines), "the engine free", 3)
 
-    async def test_an_engine_gets_the_rest_that_it_asks_for(self):
+    async def test_an_engine_backoff_is_respected(self):
         """An engine turns requests away and asks for a rest, and is asked again and again."""
         resting, other = self.cluster.engines
         resting.faults["refuse"], resting.rest = True, "30"
@@ -359,7 +359,7 @@
             status, _, _ = await cluster.ask(host=1)
             self.assertEqual(200, status)
 
-    async def test_the_last_host_to_leave_refuses_what_is_in_doubt(self):
+    async def test_the_last_host_to_drain_refuses_blocked_requests(self):
         """A caller gets 500: the last host leaves, and looks for the host that tries among none."""
         async with Cluster(engines=1, hosts=1, services=0, models=1, adapters=0) as cluster:
             host = cluster.hosts[0].host
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -17,9 +17,9 @@
                 names = [model.id async for model in client.models.list()]
                 self.assertEqual(len(names), 7)
                 for name in names:
-                    await self.ask_both_ways(client, name)
+                    await self.request_whole_and_streamed(client, name)
 
-    async def ask_both_ways(self, client, name):
+    async def request_whole_and_streamed(self, client, name):
         messages = [{"role": "user", "content": "hello"}]
         whole = await client.chat.completions.create(model=name, messages=messages)
         stream = await client.chat.completions.create(model=name, messages=messages, stream=True)
@@ -70,7 +70,7 @@
                 status, _, _ = await cluster.ask(url=urls[-1])
                 self.assertEqual(status, 200)
 
-    async def test_many_streams_at_once_are_each_their_own(self):
+    async def test_concurrent_streams_are_not_mixed_up(self):
         async with Cluster(hosts=2, step=0.0005) as cluster:
             await cluster.publish()
             asks = [
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -51,7 +51,7 @@
         ("first_event", "after 0.300 s", ""),
         ("sent", "send 1", ""),
     )
-    def test_what_a_line_says(self, event, detail, reason):
+    def test_the_reason_of_a_line(self, event, detail, reason):
         self.assertEqual(reason, name_reason({"event": event, "detail": detail}))
 
     def test_the_command_prints_a_row_for_each_reason(self):
