--- a/peridotdock/admin.py
+++ b/peridotdock/admin.py
@@ -1,4 +1,4 @@
-"""The operators' side of a host: publish, show, status. The command-line tool speaks to this."""
+"""The HTTP API for operators under ``/admin/``, used by the command-line tool."""
 
 import hmac
 from typing import Any
@@ -17,14 +17,14 @@
 
 
 class Admin:
-    """Serves operators on one host."""
+    """Handles operators' requests on one host; each needs the operator token."""
 
     def __init__(self, host: Host):
         self._host = host
         self._ctx = host.ctx
 
     def add_routes(self, app: Application) -> None:
-        """Put the operators' paths into an application."""
+        """Register the operators' routes in an application."""
         routes: dict[tuple[str, str], Handler] = {
             ("POST", "manifest/check"): self.check,
             ("POST", "manifest"): self.publish,
@@ -50,7 +50,7 @@
         return guarded
 
     async def check(self, request: Request) -> Response:
-        """Check a manifest and change nothing."""
+        """Validate a manifest without publishing it."""
         raw = await read_body(request, MAX_BYTES)
         if failed(raw):
             return answer_failure(raw, "")
@@ -64,7 +64,7 @@
         return answer_json(failure.describe("") | {"errors": errors}, failure.answer.status)
 
     async def publish(self, request: Request) -> Response:
-        """Check a manifest and make it the one in force."""
+        """Validate a manifest and publish it as the one in force."""
         raw = await read_body(request, MAX_BYTES)
         if failed(raw):
             return answer_failure(raw, "")
@@ -85,7 +85,7 @@
         )
 
     async def show(self, request: Request) -> Response:
-        """Show the manifest in force on this host."""
+        """Return the manifest in force on this host."""
         accepted = self._host.accepted
         if accepted is None:
             return answer_failure(Failure(Kind.NOT_READY), "")
@@ -98,7 +98,7 @@
         )
 
     async def status(self, request: Request) -> Response:
-        """Show what is in force on each host, and what is not yet true, and why."""
+        """Return the generation in force on each host, and the items that lack copies and why."""
         accepted = self._host.accepted
         if accepted is None:
             return answer_failure(Failure(Kind.NOT_READY), "")
@@ -137,7 +137,7 @@
         return "no room or no live engine"
 
     async def list_endpoints(self, request: Request) -> Response:
-        """Show each endpoint as this host sees it."""
+        """Return the state of each endpoint as this host knows it."""
         now = self._ctx.clock.monotonic()
         rows = [
             {
@@ -155,7 +155,7 @@
         return answer_json({"rows": rows})
 
     async def list_placement(self, request: Request) -> Response:
-        """Show every reservation and the plan's next moves."""
+        """Return every reservation of the ledgers and the moves of the current plan."""
         rows = [
             {"endpoint": name, "item": row.item, "state": row.state, "bytes": row.bytes}
             for known in self._host.board.on("ledger").values()
@@ -167,7 +167,7 @@
         return answer_json({"rows": rows, "plan": plan, "planner": self._host.planner.holder})
 
     async def list_hosts(self, request: Request) -> Response:
-        """Show the hosts as this one sees them."""
+        """Return the members of the cluster as this host knows them, with their leases."""
         leases = await self._host.platform.scan(LEASE_PREFIX)
         held = set() if failed(leases) else {key.removeprefix(LEASE_PREFIX) for key in leases}
         now = self._host.ctx.clock.monotonic()
@@ -186,7 +186,7 @@
         return answer_json({"rows": rows})
 
     async def list_events(self, request: Request) -> Response:
-        """Give this host's part of the time line."""
+        """Return the events of this host's timeline that match the query."""
         query = {name: (request.query.get(name) or [""])[0] for name in Filter.__annotations__}
         since = int(query["since"]) if query["since"].isdigit() else 0
         wanted = Filter(query["request"], query["endpoint"], query["item"], since)
@@ -194,6 +194,6 @@
         return answer_json({"rows": [vars(event) for event in events]})
 
     async def list_errors(self, request: Request) -> Response:
-        """Give the table of error kinds."""
+        """Return the table of error kinds."""
         rows = [{"kind": kind, **vars(answer)} for kind, answer in ANSWERS.items()]
         return answer_json({"rows": rows})
--- a/peridotdock/answers.py
+++ b/peridotdock/answers.py
@@ -1,4 +1,4 @@
-"""Answers over HTTP: a reply or a failure turned into what blacksheep sends."""
+"""Conversion of replies and failures to blacksheep responses."""
 
 import json
 import math
@@ -12,7 +12,7 @@
 from peridotdock.requests import Reply
 
 JSON = b"application/json"
-# Kinds after which the same request may be sent again at once, here or elsewhere.
+# Kinds after which the same request may be retried at once, on this host or another.
 RETRYABLE_KINDS = frozenset(
     {
         Kind.CALLER_LIMIT,
@@ -29,20 +29,20 @@
         Kind.TOO_MANY_STREAMS,
     }
 )
-# Kinds after which a request is refused wherever it goes: clients must not repeat it by themselves.
+# Kinds after which every host refuses the request, so clients must not retry it automatically.
 NEVER_RETRYABLE_KINDS = frozenset({Kind.BLOCKED})
 
 
 def answer_json(body: Any, status: int = 200) -> Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return Response(status, None, Content(JSON, json.dumps(body).encode()))
 
 
 def answer_failure(failure: Failure, request_id: str, keyed: bool = False) -> Response:
-    """Return the answer of the table for a failure.
+    """Return the response for a failure, as :data:`ANSWERS` defines it.
 
-    ``x-should-retry`` is read by the ``openai`` clients: without it they would send a request
-    again that may have run and must not run twice.
+    The ``openai`` clients read ``x-should-retry``. Without it they would retry a request that may
+    have run and must not run twice. ``keyed`` tells that the request has an idempotency key.
     """
     headers = [(b"x-request-id", request_id.encode()), (b"x-ran", reported_ran(failure).encode())]
     if failure.retry_after is not None:
@@ -59,12 +59,12 @@
 
 
 def reported_ran(failure: Failure) -> Ran:
-    """Return whether the request ran, as the caller is told."""
+    """Return whether the request ran, as reported to the caller in ``x-ran``."""
     return failure.ran or failure.answer.ran
 
 
 def answer_reply(reply: Reply) -> Response:
-    """Return an answer from an endpoint, whole or streamed."""
+    """Return the response for an endpoint's reply, whole or streamed."""
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in reply.headers]
     content_type = reply.content_type.encode("latin-1")
     if isinstance(reply.body, bytes):
@@ -75,7 +75,7 @@
 
 
 def make_body_reader(body: AsyncIterator[bytes]) -> Callable[[], AsyncIterator[bytes]]:
-    """Return the function from which blacksheep reads the parts of a body, once."""
+    """Return the generator function that blacksheep calls once to read a streamed body."""
 
     async def parts() -> AsyncIterator[bytes]:
         async with aclosing(body):
--- a/peridotdock/averages.py
+++ b/peridotdock/averages.py
@@ -1,10 +1,10 @@
-"""A moving average of a quantity that is looked at now and then."""
+"""An exponential moving average of a quantity sampled at irregular times."""
 
 import math
 
 
 class MovingAverage:
-    """The average over about ``seconds``, of looks at any times (monotonic seconds)."""
+    """An average with a time constant of ``seconds``; sample times are monotonic seconds."""
 
     def __init__(self, seconds: float):
         self._seconds = seconds
@@ -12,7 +12,7 @@
         self.value = 0.0
 
     def update(self, value: float, now: float) -> float:
-        """Take in what the quantity is now, and return its average."""
+        """Add a sample taken at ``now`` and return the new average."""
         share = 1 - math.exp(-(now - self._at) / self._seconds)
         self.value += share * (value - self.value)
         self._at = now
--- a/peridotdock/claims.py
+++ b/peridotdock/claims.py
@@ -1,4 +1,4 @@
-"""Claim rows: which life owns a key that does not name its owner itself."""
+"""Claim rows, which record the incarnation that owns an idempotency key without a prefix."""
 
 import hashlib
 
@@ -14,17 +14,18 @@
 
 
 def claim_row_key(caller: str, key: str) -> str:
-    """Return the name of a key's row; hashed, so that a key cannot choose its row."""
+    """Return the row key of an idempotency key, hashed so that a caller cannot choose its row."""
     return KEY_PREFIX + hashlib.sha256(f"{caller}\0{key}".encode()).hexdigest()
 
 
 async def find_owner(
     platform: Platform, table: KeyTable, incarnation: str, caller: str, key: str, now: float
 ) -> Owner | Failure:
-    """Return the owner of a key, claiming it for this life when it has none.
+    """Return the owner of a key, and claim the key for this incarnation when it has no owner.
 
-    ``now`` is the time of day in seconds since 1970. Only the owner is agreed here. That one insert
-    takes effect is up to the table; a lost answer is resolved by sending it again and reading back.
+    ``now`` is the time of day in seconds since 1970. Only the owner is agreed on. The table makes
+    sure that only one insert takes effect; after a lost answer the insert is sent again and the row
+    read back.
     """
     named = read_owner(key)
     if named is not None:
@@ -38,15 +39,15 @@
         rows = await platform.read([row])
         if not failed(rows) and row in rows:
             return Owner(rows[row].value["owner"], rows[row].value["period"])
-    # Nothing was sent to an endpoint. If the claim did land, it names this life, which has no
-    # record of the key and so may still run it.
+    # Nothing was sent to an endpoint. If the claim was written, it names this incarnation, which
+    # has no record of the key and so may still run it.
     return Failure(Kind.PLATFORM_DOWN, "no owner could be agreed", PLATFORM_RETRY_SECONDS, Ran.NO)
 
 
 async def sweep(platform: Platform, now: float) -> int:
-    """Remove claims older than a day, some at a time; return how many.
+    """Remove up to ``ROWS_PER_SWEEP`` claims older than a day; return how many.
 
-    A key of the caller's own is promised to run at most once within that time only.
+    A key without a prefix is guaranteed to run at most once only within a day.
     """
     rows = await platform.scan(KEY_PREFIX)
     if failed(rows):
--- a/peridotdock/clock.py
+++ b/peridotdock/clock.py
@@ -1,4 +1,4 @@
-"""Time as an interface, so that tests decide how it passes."""
+"""A clock interface, so that tests can control time."""
 
 import asyncio
 import time
@@ -7,29 +7,29 @@
 
 
 class Clock(Protocol):
-    """Where time comes from."""
+    """A source of time."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, for intervals on this host."""
+        """Return monotonic seconds, for intervals on this host."""
 
     def now(self) -> datetime:
-        """Return the time of day in UTC; only for people and for the time line."""
+        """Return the time of day in UTC, only for display and for the timeline."""
 
     async def sleep(self, seconds: float) -> None:
-        """Wait for ``seconds``."""
+        """Sleep for ``seconds``."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The system clock."""
 
     def monotonic(self) -> float:
-        """Return the machine's monotonic clock, in seconds."""
+        """Return the system's monotonic clock, in seconds."""
         return time.monotonic()
 
     def now(self) -> datetime:
-        """Return the machine's time of day in UTC."""
+        """Return the system's time of day in UTC."""
         return datetime.now(UTC)
 
     async def sleep(self, seconds: float) -> None:
-        """Wait on the running loop."""
+        """Sleep on the running event loop."""
         await asyncio.sleep(seconds)
--- a/peridotdock/config.py
+++ b/peridotdock/config.py
@@ -1,4 +1,4 @@
-"""Settings: one schema gives flags, variables, checks and the documentation."""
+"""Settings from flags and environment variables, validated against one JSON schema."""
 
 import json
 from collections.abc import Mapping
@@ -25,15 +25,16 @@
 
 @cache
 def load_schema(name: str) -> dict[str, Any]:
-    """Return the schema called ``name`` from the package."""
+    """Return the JSON schema ``name`` of the package."""
     text = resources.files("peridotdock.schema").joinpath(f"{name}.json").read_text()
     return json.loads(text)
 
 
 def list_errors(schema: dict[str, Any], document: Any) -> list[str]:
-    """Return every breach of ``schema``, each with its path and what was expected.
+    """Return every violation of ``schema``, each with its path and what was expected.
 
-    The library is imported here, so that a host that checks no document doesn't load it.
+    ``jsonschema`` is imported inside the function, so that a host that validates no document does
+    not load it.
     """
     import jsonschema
 
@@ -49,7 +50,10 @@
 
 
 def read_values(flags: Mapping[str, Any], environ: Mapping[str, str]) -> dict[str, Any]:
-    """Merge flags over variables over nothing; a value that is no number stays a string."""
+    """Merge flags and environment variables, flags first.
+
+    A value that cannot be converted to its type stays a string, for validation to report.
+    """
     values: dict[str, Any] = {}
     for name, rule in load_schema("settings")["properties"].items():
         raw = flags.get(name)
@@ -67,7 +71,7 @@
 def load_settings(
     flags: Mapping[str, Any], environ: Mapping[str, str]
 ) -> tuple[Settings | None, list[str]]:
-    """Return the settings, or None and every error at once."""
+    """Return the settings, or None and the list of all errors."""
     values = read_values(flags, environ)
     errors = list_errors(load_schema("settings"), values)
     if errors:
@@ -76,6 +80,6 @@
 
 
 def parse_policy(text: str) -> frozenset[str]:
-    """Return the decisions that are switched off; ``naive`` stands for all of them."""
+    """Return the decisions that are disabled; ``naive`` stands for all of them."""
     parts = frozenset(part for part in text.split(",") if part)
     return parts | DECISIONS if "naive" in parts else parts
--- a/peridotdock/context.py
+++ b/peridotdock/context.py
@@ -1,4 +1,4 @@
-"""The one object that carries what every part of a process needs."""
+"""The context shared by all components of a process."""
 
 import random
 import sys
@@ -22,13 +22,16 @@
 
     @property
     def out_is_terminal(self) -> bool:
-        """Tell whether a person reads the output."""
+        """Return whether standard output is a terminal."""
         return self.out.isatty()
 
 
 @dataclass(frozen=True)
 class Context:
-    """Settings, clock, random source, time line and metrics of one daemon."""
+    """Settings, clock, random source, timeline and metrics of one daemon.
+
+    ``incarnation`` identifies this start of the host; ``epoch`` is its time in Unix milliseconds.
+    """
 
     cfg: Settings
     clock: Clock
@@ -40,14 +43,14 @@
     disabled_decisions: frozenset[str]
 
     def decision_enabled(self, decision: str) -> bool:
-        """Tell whether ``decision`` is switched on."""
+        """Return whether the policy leaves ``decision`` enabled."""
         return decision not in self.disabled_decisions
 
 
 def build_context(
     cfg: Settings, clock: Clock | None = None, rng: random.Random | None = None
 ) -> Context:
-    """Build the context of a daemon; the incarnation is new for each start."""
+    """Build the context of a daemon, with a new incarnation."""
     clock = clock or SystemClock()
     rng = rng or random.Random()
     return Context(
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """What the operators' command takes from outside: streams and variables."""
+    """The standard streams and environment variables of the operators' command."""
 
     streams: Streams
     environ: Mapping[str, str]
--- a/peridotdock/core.py
+++ b/peridotdock/core.py
@@ -1,4 +1,4 @@
-"""The daemon from start to end: build, serve, stop gracefully, exit status."""
+"""The life cycle of the daemon: start, serve, drain, stop and exit status."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 
 
 class Daemon:
-    """One running host with its HTTP side."""
+    """One running host with its HTTP server."""
 
     def __init__(self, ctx: Context):
         self.ctx = ctx
@@ -33,17 +33,17 @@
         self.server = Server(app, ctx.cfg.entry_ip, ctx.cfg.entry_port)
 
     async def start(self) -> "Daemon":
-        """Serve callers and join the other hosts."""
+        """Start to serve callers and join the cluster."""
         await self.server.start()
         await self.host.start(self.server.address)
         self.ctx.timeline.add("started", detail=self.server.address)
         return self
 
     async def drain(self) -> bool:
-        """Leave: out of the answers first, then closed to new work, then all streams ended.
+        """Drain: leave the address lists, then refuse new work, then wait for all streams to end.
 
-        Callers keep an answer for its time to live, so this host goes on taking new work for that
-        long after it has left the answers. True when nothing had to be cut off.
+        Callers cache an address list for its time to live, so this host accepts new work for that
+        long after it has left the lists. True when no request had to be cut off.
         """
         clock, cfg = self.ctx.clock, self.ctx.cfg
         started_at = clock.monotonic()
@@ -65,14 +65,14 @@
         return True
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop the host, then the server, with a short wait for the last answers to be sent."""
         await self.host.stop()
         await self.ctx.clock.sleep(LAST_ANSWERS_SECONDS)
         await self.server.stop()
 
 
 async def serve(cfg: Settings, streams: Streams) -> ExitStatus:
-    """Run a daemon until it is told to stop. A second signal does not cut anything off either."""
+    """Run a daemon until SIGTERM or SIGINT; a second signal does not cut requests off either."""
     daemon = Daemon(build_context(cfg))
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -95,7 +95,7 @@
 def run_daemon(
     flags: Mapping[str, Any], environ: Mapping[str, str], streams: Streams
 ) -> ExitStatus:
-    """Check the settings, run the daemon, and return its exit status."""
+    """Validate the settings, run the daemon and return its exit status."""
     cfg, errors = load_settings(flags, environ)
     if cfg is None:
         for error in errors:
--- a/peridotdock/credentials.py
+++ b/peridotdock/credentials.py
@@ -1,7 +1,7 @@
-"""Bearer keys: read from a header, and known by their digest from then on.
+"""Bearer keys, which are replaced by their digests as soon as they are read.
 
-A key itself is never kept, logged or sent on, so that no log line, metric or message between hosts
-can give one away.
+A key itself is never stored, logged or forwarded, so that no log line, metric or message between
+hosts can disclose one.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 
 def read_bearer(header: str) -> str:
-    """Return the digest of a header's bearer key, or ``NO_KEY`` where it holds none."""
+    """Return the digest of the bearer key in a header, or ``NO_KEY`` when it has none."""
     scheme, _, key = header.strip().partition(" ")
     key = key.strip()
     return digest_key(key) if scheme.lower() == "bearer" and key else NO_KEY
--- a/peridotdock/demand.py
+++ b/peridotdock/demand.py
@@ -1,7 +1,8 @@
-"""Demand for each model and adapter: engine seconds asked for each second.
+"""Demand for each model and adapter, in engine seconds requested per second.
 
-Two moving averages and a held peak: the fast one sees a burst begin, the slow one tells a burst
-from the usual, and the peak keeps copies through the gaps of an evening session.
+The demand is kept as two moving averages and a decaying peak. The fast average detects the start
+of a burst, the slow one gives the usual demand, and the peak keeps copies loaded through the pauses
+of an evening session.
 """
 
 import math
@@ -15,7 +16,7 @@
 
 @dataclass
 class Rate:
-    """The averages of one item at ``at`` (monotonic seconds)."""
+    """The averages of one item as of ``at`` (monotonic seconds)."""
 
     fast: float = 0.0
     slow: float = 0.0
@@ -23,7 +24,7 @@
     at: float = 0.0
 
     def decay(self, now: float, peak_seconds: float = PEAK_SECONDS) -> None:
-        """Carry the averages forward to ``now``."""
+        """Decay the averages to ``now``."""
         elapsed = max(0.0, now - self.at)
         self.fast *= math.exp(-elapsed / FAST_SECONDS)
         self.slow *= math.exp(-elapsed / SLOW_SECONDS)
@@ -31,27 +32,27 @@
         self.at = now
 
     def add(self, work: float) -> None:
-        """Count ``work`` engine seconds."""
+        """Add ``work`` engine seconds."""
         self.fast += work / FAST_SECONDS
         self.slow += work / SLOW_SECONDS
         self.peak = max(self.peak, self.fast)
 
 
 class Demand:
-    """Demand seen by this host; a peak is held for about ``peak_seconds``."""
+    """Demand observed by this host; a peak decays with a time constant of ``peak_seconds``."""
 
     def __init__(self, peak_seconds: float = PEAK_SECONDS) -> None:
         self._peak_seconds = peak_seconds
         self._rates: dict[str, Rate] = {}
 
     def add(self, item: str, work: float, now: float) -> None:
-        """Count a request for ``item`` that would take ``work`` engine seconds."""
+        """Count a request for ``item`` that takes an estimated ``work`` engine seconds."""
         rate = self._rates.setdefault(item, Rate(at=now))
         rate.decay(now, self._peak_seconds)
         rate.add(work)
 
     def recent(self, now: float) -> dict[str, float]:
-        """Return the rate of the last seconds, by item, without held peaks."""
+        """Return the fast average by item, without peaks."""
         found = {}
         for item, rate in self._rates.items():
             rate.decay(now, self._peak_seconds)
@@ -60,7 +61,10 @@
         return found
 
     def rates(self, now: float) -> dict[str, float]:
-        """Return the rate to plan for, by item; items without demand are left out."""
+        """Return the rate to plan for, by item: the larger of peak and slow average.
+
+        Items without demand are omitted.
+        """
         for rate in self._rates.values():
             rate.decay(now, self._peak_seconds)
         self._rates = {item: rate for item, rate in self._rates.items() if rate.peak > MIN_RATE}
--- a/peridotdock/deployment.py
+++ b/peridotdock/deployment.py
@@ -1,7 +1,7 @@
-"""What a deployment serves: routes, services and the models of their engines.
+"""A decoded configuration: routes, services and the models of their engines.
 
 All times are seconds and all memory is megabytes. A deployment is one accepted version of the
-operators' configuration, decoded; it never changes after that.
+operators' configuration and is immutable.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route more than once."""
+    """Whether requests of a route may be repeated, and whether their answers are streams."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A service that takes part of a route's requests; ``weight`` is relative to the others'."""
+    """A service that receives part of a route's requests, in proportion to ``weight``."""
 
     service: str
     weight: float
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests with a host name and a path prefix go, and what they are promised.
+    """The services, limits and targets for requests with a host name and a path prefix.
 
-    ``patience`` is how long callers stay without a first sign of an answer; ``rank`` 0 comes first.
-    A ``public`` route needs no key.
+    ``stall_timeout`` is how long callers wait without a first event of an answer; rank 0 is served
+    first. A ``public`` route needs no key.
     """
 
     name: str
@@ -51,21 +51,21 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
     @property
     def streams(self) -> bool:
-        """Tell whether the answer is a series of events."""
+        """Return whether the answer is a stream of events."""
         return self.kind is RouteKind.STREAM
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model that an engine can hold, and how long it takes to get it there.
+    """A model that an engine can load, with its sizes and load times.
 
-    ``load`` is the time from the weight store, ``from_disk`` and ``from_memory`` from copies that
-    the engine's machine kept.
+    ``load_seconds`` is the load time from the weight store; ``disk_load_seconds`` and
+    ``memory_load_seconds`` are the load times from weights cached on the engine's machine.
     """
 
     name: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """What every engine of a service can hold and do at once."""
+    """The capacity of each engine of a service."""
 
     slots: int
     weights_mb: float
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Endpoints that do the same work; ``engine`` is None for a plain service."""
+    """A set of interchangeable endpoints; ``engine`` is None for a plain service."""
 
     name: str
     health_path: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send and how long it may stay idle on a connection."""
+    """Size limits of callers' requests and the idle timeout of their connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -123,10 +123,10 @@
     workspaces: Workspaces = field(default_factory=Workspaces)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``.
+        """Return the route of ``host`` with the longest prefix of ``path``.
 
-        Prefixes end with a slash, so only the slashes of the path are looked at: the cost follows
-        the depth of the path, not the number of routes.
+        Prefixes end with a slash, so only the slashes of the path are tried: the cost grows with
+        the depth of the path, not with the number of routes.
         """
         prefixes = self.routes.get(host)
         if not prefixes:
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -1,4 +1,4 @@
-"""Requests for models: choose an endpoint, send, watch, retry where that is safe and affordable."""
+"""Dispatch of requests for models: choose an endpoint, send, monitor, and retry where safe."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
 
 
 class Dispatcher:
-    """Sends requests to endpoints on behalf of callers."""
+    """Sends callers' requests for models to endpoints."""
 
     def __init__(self, ctx: Context, fleet: Fleet, endpoints: HttpEndpoints, blocklist: Blocklist):
         self._ctx = ctx
@@ -46,7 +46,11 @@
         self.demand = Demand()
 
     async def run(self, req: ModelRequest, caller: CallerConnection) -> Reply | Failure:
-        """Answer a request for a model or adapter, or say why not."""
+        """Run a request for a model or adapter on one endpoint after another until one answers.
+
+        It is sent again only while its deadline, the retry budget and the block list allow it, and
+        after a send that may have run only when it may run twice.
+        """
         key = self._fleet.servable(req.profile.item)
         if key != req.profile.item:
             req = replace(req, profile=replace(req.profile, item=key))
@@ -176,7 +180,7 @@
     async def _fetch_ready(
         self, req: ModelRequest, state: EndpointState, lost: Failure
     ) -> Opened | Failure:
-        """Fetch an answer that stands ready on the engine, over a new connection."""
+        """Fetch a finished answer from the engine over a new connection; ``lost`` if that fails."""
         part = "offset=0" if req.stream else "whole=1"
         path = f"/v1/streams/{req.request_id}?{part}&form={req.form}"
         try:
@@ -199,11 +203,12 @@
         deadline: float,
         caller: CallerConnection,
     ) -> T | Failure:
-        """Wait for ``work`` while looking out for deadline, caller and a lost endpoint.
+        """Wait for ``work``, at most until the deadline, a disconnect or the loss of the endpoint.
 
-        Failure guarded against: the connection has gone silent for good. After the silence
-        allowed, a fresh connection asks whether the engine knows the request; when it does not,
-        or does not answer, or was done already a period before, the wait is over.
+        Failure guarded against: the connection is silent for good although it is open. After
+        ``silence_seconds`` a probe over a new connection asks the engine for the request's state.
+        The wait ends when the engine does not know the request, does not answer, or had already
+        finished it at the previous probe.
         """
         clock = self._ctx.clock
         task = asyncio.ensure_future(work)
@@ -270,7 +275,7 @@
     def _record_cache_hits(
         self, req: ModelRequest, choice: Choice, usage: FrameUsage | None
     ) -> None:
-        """Compare what was thought to be cached with what the request found cached."""
+        """Compare the expected number of cached tokens with the number that the engine reports."""
         if usage is not None and req.profile.blocks:
             choice.state.learn_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
 
@@ -289,7 +294,7 @@
         first: bytes,
         frames: AsyncIterator[bytes | Failure],
     ) -> AsyncIterator[bytes]:
-        """Give the caller the frames; the end is either the engine's or an error frame."""
+        """Yield the frames to the caller; the last is the engine's own or an error frame."""
         state = choice.state
         outcome: Failure | None = None
         count = 0
@@ -320,5 +325,5 @@
 
 
 def encode_error_frame(failure: Failure, request_id: str) -> bytes:
-    """Return the frame that tells a caller that its answer is cut."""
+    """Return the frame that reports a failure to the caller of a stream."""
     return b"data: " + json.dumps(failure.describe(request_id)).encode() + b"\n\n"
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -1,4 +1,4 @@
-"""The callers' side of a host: HTTP in, checks and limits, then dispatch, then the answer."""
+"""The HTTP API for callers: validation, limits, idempotency keys, dispatch and responses."""
 
 import hashlib
 import hmac
@@ -39,18 +39,18 @@
 
 
 class HttpCallerConnection:
-    """The caller's end of a request."""
+    """The connection between a caller and this host."""
 
     def __init__(self, request: Request):
         self._transport = request.scope["abort"].__self__
 
     def disconnected(self) -> bool:
-        """Tell whether the connection to the caller is closed."""
+        """Return whether the caller's connection is closed or closing."""
         return self._transport.is_closing()
 
 
 class Entry:
-    """Serves callers on one host."""
+    """Handles callers' requests on one host; ``in_flight`` counts those not yet answered."""
 
     def __init__(self, host: Host):
         self._host = host
@@ -59,7 +59,7 @@
         self.in_flight = 0
 
     def add_routes(self, app: Application) -> None:
-        """Put the callers' paths into an application."""
+        """Register the callers' routes in an application."""
         add = partial(add_route, app)
         add("GET", "/v1/addresses", self.addresses)
         add("GET", "/v1/models", self.models)
@@ -72,17 +72,17 @@
         add("GET", "/metrics", self.metrics)
 
     async def health(self, request: Request) -> Response:
-        """Say that the process runs."""
+        """Report that the process is running."""
         return answer_json({"status": "ok"})
 
     async def readiness(self, request: Request) -> Response:
-        """Say whether callers can be served."""
+        """Report whether this host can serve callers."""
         if self._host.ready():
             return answer_json({"status": "ready"})
         return answer_failure(Failure(Kind.NOT_READY, "", 1.0), "")
 
     async def metrics(self, request: Request) -> Response:
-        """Give the metrics to a scraper."""
+        """Return the metrics in the Prometheus text format."""
         self._ctx.metrics.in_work.set(self.in_flight)
         return Response(200, None, Content(b"text/plain", self._ctx.metrics.render()))
 
@@ -93,7 +93,7 @@
         return find_caller(self._host.accepted, token)
 
     async def addresses(self, request: Request) -> Response:
-        """Say which addresses to use, for how long, and how keys may begin."""
+        """Return the hosts' addresses, their time to live, and the prefix for idempotency keys."""
         caller = self._authenticate(request)
         if failed(caller):
             return answer_failure(caller, "")
@@ -104,18 +104,18 @@
         return answer_json(body | {"key_prefix": self._host.keys.prefix()})
 
     async def models(self, request: Request) -> Response:
-        """List models and adapters."""
+        """Return the models and adapters that the manifest defines."""
         caller = self._authenticate(request)
         if failed(caller):
             return answer_failure(caller, "")
         return answer_json(list_models(self._host.accepted))
 
     async def generate(self, request: Request) -> Response:
-        """Answer a request for a model or adapter."""
+        """Handle a request for a model or adapter."""
         return await self._serve(request, request.url.path.decode())
 
     async def service(self, request: Request) -> Response:
-        """Carry a call to a plain service."""
+        """Handle a call to a plain service."""
         return await self._serve(request, request.url.path.decode())
 
     async def _serve(self, request: Request, path: str) -> Response:
@@ -145,10 +145,10 @@
                 self._end_request(caller)
 
     def _was_forwarded(self, head: dict[str, str]) -> bool:
-        """Tell whether another host forwarded this, and so counted it.
+        """Return whether another host forwarded this request, and so counted it.
 
-        Failure guarded against: a caller sets the header itself and passes its limit. Only a host
-        can make the proof.
+        Failure guarded against: a caller sets the header itself to evade its limit. The header
+        holds an HMAC under the cluster key, which only hosts can compute.
         """
         proof = self._sign_forward(self._ctx.incarnation, head.get("authorization", ""))
         return hmac.compare_digest(head.get(FORWARDED_HEADER, "").encode(), proof.encode())
@@ -169,7 +169,7 @@
         return answer_failure(failure, request_id, keyed)
 
     def _admit_caller(self, caller: Caller, forwarded: bool) -> Failure | None:
-        """Hold a caller to its limits; a forwarded request was counted where it came in."""
+        """Enforce a caller's limits; a forwarded request was counted by the host that sent it."""
         if self._host.membership.own.state == "gone":
             return Failure(Kind.STOPPING, "", STOPPING_RETRY_SECONDS)
         if self.in_flight >= self._ctx.cfg.max_requests:
@@ -194,7 +194,7 @@
     async def _count_until_end(
         self, caller: Caller, body: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
-        """Count a streamed answer as in work until it has ended."""
+        """Pass a streamed answer on and count its request as in flight until it ends."""
         try:
             async for part in body:
                 yield part
@@ -258,7 +258,7 @@
         head: dict[str, str],
         body: bytes,
     ) -> Reply | Failure:
-        """Run a request with a key at its owner, which may be another host."""
+        """Run a request with an idempotency key on the key's owner, which may be another host."""
         keys = self._host.keys
         now = self._ctx.clock.now().timestamp()
         owner = await find_owner(
@@ -292,7 +292,7 @@
     async def _record_stream(
         self, record: Record, reply: Reply, body: AsyncIterator[bytes]
     ) -> AsyncIterator[bytes]:
-        """Keep a streamed answer while it passes, so that a retry gets it whole."""
+        """Record a streamed answer as it is passed on, so that a retry gets the whole answer."""
         parts: list[bytes] = []
         size = 0
         whole = False
@@ -315,9 +315,10 @@
     async def _forward(
         self, request: Request, incarnation: str, head: dict[str, str], body: bytes
     ) -> Reply | Failure:
-        """Hand a request to the life that alone may run its key.
+        """Forward a request to the incarnation that owns its key.
 
-        A forwarded request is never forwarded again: the one that got it is then another life.
+        A forwarded request is never forwarded again: when its receiver is not the owner, the
+        owner's host has restarted under a new incarnation.
         """
         member = self._host.membership.find(incarnation)
         if member is None or not member.alive or FORWARDED_HEADER in head:
--- a/peridotdock/errors.py
+++ b/peridotdock/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""The closed set of error kinds and the table of the responses for them.
 
-A function that can fail returns a :class:`Failure` in place of its result; the caller of
-that function tests for it. ``ran`` states whether the request may have run on an endpoint,
-which is what a caller needs to decide whether to send it again.
+A function that can fail returns a :class:`Failure` in place of its result, and its caller checks
+for one with :func:`failed`. ``ran`` states whether the request may have run on an endpoint, which
+tells a caller whether it may send the request again.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Kind(StrEnum):
-    """Every way in which peridotdock says no."""
+    """The kinds of errors; the values are the ``code`` in responses."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_CALLER = "unknown_caller"
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a kind means to a caller: status, whether it ran, log level, meaning, remedy."""
+    """The response for a kind: HTTP status, whether the request ran, log level and texts."""
 
     status: int
     ran: Ran
@@ -254,7 +254,10 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """A sentinel result: which kind, why in this case, and when to come back (seconds)."""
+    """An error result: its kind, the reason in this case and the retry delay in seconds.
+
+    ``ran`` overrides the value of the table for this kind.
+    """
 
     kind: Kind
     reason: str = ""
@@ -263,16 +266,16 @@
 
     @property
     def answer(self) -> Answer:
-        """Return the row of the table for this kind."""
+        """Return the row of :data:`ANSWERS` for this kind."""
         return ANSWERS[self.kind]
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether the request may have run."""
+        """Return whether the request may have run on an endpoint."""
         return (self.ran or self.answer.ran) is not Ran.NO
 
     def describe(self, request_id: str) -> dict[str, Any]:
-        """Return the body that a caller gets, in the shape of OpenAI's errors."""
+        """Return the response body, in the format of OpenAI's errors."""
         message = self.answer.meaning if not self.reason else f"{self.answer.meaning} {self.reason}"
         error = {
             "message": message,
@@ -288,5 +291,5 @@
 
 
 def failed(value: object) -> TypeGuard[Failure]:
-    """Tell whether a result is a failure."""
+    """Return whether a result is a :class:`Failure`."""
     return isinstance(value, Failure)
--- a/peridotdock/events.py
+++ b/peridotdock/events.py
@@ -1,7 +1,7 @@
-"""The time line: a bounded ring of events stamped with a hybrid logical clock.
+"""The timeline: a ring buffer of events with timestamps of a hybrid logical clock.
 
-The stamp is ``milliseconds << 16 | counter``. It follows the wall clock but never goes back,
-and a message carries it, so that an event caused by a message sorts after the sending.
+A timestamp is ``milliseconds << 16 | counter``. It follows the wall clock but never decreases.
+Messages between hosts carry it, so that an event caused by a message sorts after its sending.
 """
 
 import logging
@@ -19,23 +19,23 @@
 
 
 class HybridClock:
-    """Hybrid logical clock of one process."""
+    """The hybrid logical clock of one process."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._last = 0
 
     def tick(self) -> int:
-        """Return a stamp above every stamp given or seen so far."""
+        """Return a timestamp greater than every one issued or received so far."""
         wall = int(self._clock.now().timestamp() * 1000) << COUNTER_BITS
         self._last = max(self._last + 1, wall)
         return self._last
 
     def witness(self, stamp: int) -> None:
-        """Take in the stamp of a message.
+        """Advance to the timestamp of a received message.
 
-        A peer whose clock is far ahead would drag ours along for good and make the order
-        useless; a stamp more than a minute ahead is passed over.
+        A timestamp more than a minute ahead is ignored: a peer with a wrong clock would advance
+        this clock permanently and make the order useless.
         """
         wall = int(self._clock.now().timestamp() * 1000) + MAX_SKEW_MS
         if stamp <= wall << COUNTER_BITS:
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One thing that happened on one host."""
+    """An event on one host; the field names appear in logs and in ``/admin/events``."""
 
     stamp: int
     host: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Filter:
-    """Which events are wanted; empty fields match all."""
+    """Criteria for selecting events; an empty field matches every event."""
 
     request: str = ""
     endpoint: str = ""
@@ -65,14 +65,14 @@
     since: int = 0
 
     def matches(self, event: Event) -> bool:
-        """Tell whether ``event`` is wanted."""
+        """Return whether ``event`` matches all criteria."""
         wanted = ((self.request, event.request), (self.endpoint, event.endpoint))
         wanted += ((self.item, event.item),)
         return event.stamp >= self.since and all(not want or want == has for want, has in wanted)
 
 
 class Timeline:
-    """Keeps the newest events of this process and logs each."""
+    """Stores the newest ``size`` events of this process, logs each and notifies listeners."""
 
     def __init__(self, host: str, clock: Clock, size: int):
         self.clock = HybridClock(clock)
@@ -81,7 +81,7 @@
         self.listeners: list[Callable[[Event], None]] = []
 
     def add(self, name: str, level: str = "INFO", **fields: Any) -> Event:
-        """Record an event called ``name``; ``fields`` are those of :class:`Event`."""
+        """Record an event; ``fields`` are the optional ones of :class:`Event`."""
         event = Event(self.clock.tick(), self._host, name, **fields)
         self._ring.append(event)
         levelno = logging.getLevelName(level)
@@ -94,6 +94,6 @@
         return event
 
     def select(self, wanted: Filter, limit: int = 1000) -> list[Event]:
-        """Return the newest ``most`` events that match, oldest first."""
+        """Return the newest ``limit`` matching events, oldest first."""
         found = [event for event in self._ring if wanted.matches(event)]
         return found[-limit:]
--- a/peridotdock/jobs.py
+++ b/peridotdock/jobs.py
@@ -1,4 +1,4 @@
-"""Work that a daemon repeats for as long as it runs."""
+"""Periodic background jobs of a daemon."""
 
 import asyncio
 import logging
@@ -13,7 +13,7 @@
 
 
 class Jobs:
-    """The repeated work of one process."""
+    """The periodic jobs of one process."""
 
     def __init__(self, ctx: Context):
         self._ctx = ctx
@@ -26,10 +26,10 @@
         name: str,
         wake: asyncio.Event | None = None,
     ) -> None:
-        """Do ``work`` again and again, ``seconds`` apart with some jitter, sooner after ``wake``.
+        """Run ``work`` every ``seconds()`` with jitter, or earlier when ``wake`` is set.
 
-        The jitter keeps hosts that started together, or that waited out an outage together, from
-        asking the platform in step.
+        The jitter keeps hosts that started together, or resumed together after an outage, from
+        calling the platform at the same times.
         """
         self._tasks.append(asyncio.create_task(self._repeat(seconds, work, name, wake)))
 
@@ -64,7 +64,7 @@
         wake.clear()
 
     async def stop(self) -> None:
-        """End all work."""
+        """Cancel all jobs and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/peridotdock/keys.py
+++ b/peridotdock/keys.py
@@ -1,9 +1,9 @@
-"""Idempotency keys: a request with a key runs at most once, over all hosts and restarts.
+"""Idempotency keys: a request with a key runs at most once, across all hosts and restarts.
 
-Every key has one owner, the life of one host, and only that life ever runs it. A key that begins
-with the prefix from ``/v1/addresses`` names its owner itself, so nothing has to be agreed or
-stored. Any other key gets its owner by a claim row in the platform's table. The owner remembers
-what became of each key; when the owner is gone, nobody runs the key again.
+Every key has one owner, an incarnation of a host, and only the owner runs it. A key with the prefix
+from ``/v1/addresses`` names its owner, so nothing has to be agreed on or stored. Any other key gets
+its owner by a claim row in the platform's table. The owner records the outcome of each key; after
+the owner is gone, no host runs the key again.
 """
 
 import hashlib
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Owner:
-    """Who alone may run a key; ``period`` is that host's count of hours when it was issued."""
+    """The incarnation that may run a key, and its period (hours since its start) at the issue."""
 
     incarnation: str
     period: int
@@ -34,7 +34,7 @@
 
 @dataclass
 class Record:
-    """What became of a key at its owner. No outcome yet: it is in work."""
+    """The state of a key at its owner; without an outcome its request is still running."""
 
     fingerprint: bytes
     period: int
@@ -43,18 +43,18 @@
 
 
 def read_owner(key: str) -> Owner | None:
-    """Return the owner that a key names itself, or None."""
+    """Return the owner named in a key's prefix, or None for a key without one."""
     match = KEY_PATTERN.fullmatch(key)
     return Owner(match[1], int(match[2])) if match else None
 
 
 def fingerprint(method: str, path: str, body: bytes) -> bytes:
-    """Return what tells one request from another under the same key."""
+    """Return a digest that distinguishes different requests under the same key."""
     return hashlib.sha256(b"\0".join((method.encode(), path.encode(), body))).digest()
 
 
 class KeyTable:
-    """The keys that this life of this host owns."""
+    """The keys that this incarnation of the host owns."""
 
     def __init__(self, incarnation: str, clock: Clock, max_records: int):
         self._incarnation = incarnation
@@ -65,19 +65,19 @@
         self._bytes = 0
 
     def period(self) -> int:
-        """Return the current period of this life, in hours since its start."""
+        """Return the current period, in hours since the start of this incarnation."""
         return int((self._clock.monotonic() - self._started_at) / PERIOD_SECONDS)
 
     def prefix(self) -> str:
-        """Return what callers put before their own part of a key."""
+        """Return the prefix that callers put before their own part of a key."""
         return f"{self._incarnation}.{self.period()}."
 
     def begin(self, caller: str, key: str, owner: Owner, digest: bytes) -> Record | Reply | Failure:
-        """Start a key: a record to run it under, or the answer to give instead.
+        """Return a record under which to run the request, or the outcome to return instead.
 
-        A record is dropped only when its period is over, and it never began before its key was
-        issued or claimed. So while the key's own period is kept, a missing record proves that
-        the key never ran.
+        A record is evicted only after its period has expired, and it is never created before its
+        key was issued or claimed. So while records of the key's own period are kept, a missing
+        record proves that the key never ran.
         """
         self._evict_expired()
         if owner.period > self.period():
@@ -104,7 +104,7 @@
         return record.outcome
 
     def end(self, record: Record, outcome: Reply | Failure) -> None:
-        """Note what became of a key. One that was not run may be tried again."""
+        """Record the outcome of a key; after a failure without a run the key may be used again."""
         if failed(outcome) and not outcome.may_have_run:
             record.may_run_again = True
             return
--- a/peridotdock/limits.py
+++ b/peridotdock/limits.py
@@ -1,11 +1,11 @@
-"""Limits per caller over all hosts, without a write or a message in a request's path.
-
-Each host owns an equal share of every limit. A host that sees little of a caller lends part of
-its share to one that sees much. Failure guarded against: a loan that is received_at late, after the
-lender took its share back, would let both use it, and the caller's rate would pass its limit. So
-a loan names the heartbeat of the borrower it answers, and both count its time from there: the
-borrower from when it made that heartbeat, the lender from when it received it, later. The
-borrower has always stopped before the lender begins again, however late the messages are.
+"""Cluster-wide rate limits per caller, without a write or a message in the request path.
+
+Each host owns an equal share of every limit. A host that receives few requests of a caller lends
+part of its share to one that receives many. Failure guarded against: a loan arrives late, after the
+lender has taken its share back, both hosts use it, and the caller's rate exceeds its limit. So a
+loan names the heartbeat of the borrower that it answers, and both hosts count its time from that
+heartbeat: the borrower from the sending, the lender from the receipt, which is later. The borrower
+has always stopped before the lender resumes, however late the messages are.
 """
 
 from collections import deque
@@ -25,18 +25,18 @@
 
 @dataclass
 class Bucket:
-    """A token bucket; ``rate`` in units a second."""
+    """A token bucket; rates are in requests per second."""
 
     level: float
     updated_at: float
 
     def fill(self, rate: float, capacity: float, now: float) -> None:
-        """Let in what has come since the last time; ``room`` is the most that it holds."""
+        """Add the tokens accrued since the last update, up to ``capacity``."""
         self.level = min(capacity, self.level + (now - self.updated_at) * rate)
         self.updated_at = now
 
     def take(self, rate: float, now: float) -> float:
-        """Take one request; return 0, or the seconds until one fits."""
+        """Take one token; return 0, or the seconds until one is available."""
         self.fill(rate, max(1.0, rate * BURST_SECONDS), now)
         if self.level >= 1.0:
             self.level -= 1.0
@@ -45,7 +45,7 @@
 
 
 class Usage:
-    """Requests offered by a caller, smoothed over some seconds."""
+    """The request rate of each caller on this host, smoothed over ``RATE_SECONDS``."""
 
     def __init__(self) -> None:
         self._rates: dict[str, tuple[float, float]] = {}
@@ -55,19 +55,22 @@
         self._rates[caller] = (self.rate(caller, now) + 1.0 / RATE_SECONDS, now)
 
     def rate(self, caller: str, now: float) -> float:
-        """Return requests a second."""
+        """Return a caller's rate in requests per second."""
         rate, at = self._rates.get(caller, (0.0, now))
         return rate * max(0.0, 1.0 - (now - at) / RATE_SECONDS)
 
     def rates(self, now: float) -> dict[str, float]:
-        """Return the callers that were seen lately."""
+        """Return the rates of the callers with recent requests."""
         current = {caller: self.rate(caller, now) for caller in self._rates}
         self._rates = {c: pair for c, pair in self._rates.items() if current[c] > 0}
         return {caller: round(rate, 3) for caller, rate in current.items() if rate > 0}
 
 
 class CallerLimits:
-    """The part of each caller's limit that this host may use now."""
+    """The part of each caller's limit that this host may use now.
+
+    ``heartbeat_time`` returns when this host sent a heartbeat, by its number (monotonic seconds).
+    """
 
     def __init__(self, host: str, heartbeat_time: Callable[[int], float | None]):
         self._host = host
@@ -79,7 +82,7 @@
         self.hosts = 1
 
     def allowed(self, caller: str, limit: float, now: float) -> float:
-        """Return this host's part of ``limit``, in requests a second."""
+        """Return this host's part of ``limit``, in requests per second, with loans included."""
         lent = sum(loan.rate for loan, until in self._lent if loan.caller == caller)
         return max(0.0, limit / self.hosts - lent) + self._borrowed_rate(caller, now)
 
@@ -93,7 +96,7 @@
         return total
 
     def take(self, caller: str, limit: float, now: float) -> Failure | None:
-        """Let one request pass, or refuse it with the time until one fits."""
+        """Admit one request, or return a failure with the time until one is admitted."""
         self.usage.add(caller, now)
         rate = self.allowed(caller, limit, now)
         bucket = self._buckets.setdefault(caller, Bucket(max(1.0, rate), now))
@@ -106,10 +109,10 @@
         others: dict[str, tuple[int, float, dict[str, float]]],
         now: float,
     ) -> list[Loan]:
-        """Decide what to lend; ``others`` gives heartbeat, when received_at, and usage by host.
+        """Return the current loans; ``others`` gives heartbeat, time of receipt and usage by host.
 
-        A loan is made anew only when the last one for that caller has ended, so the sum lent
-        never grows past the share.
+        A new loan for a caller is made only after the last one has expired, so the total lent
+        never exceeds the share.
         """
         while self._lent and self._lent[0][1] <= now:
             self._lent.popleft()
@@ -144,6 +147,6 @@
             )
 
     def borrow(self, lender: str, loans: list[Loan]) -> None:
-        """Take in what another host lends now; it replaces what it lent before."""
+        """Accept the current loans of another host, which replace its previous ones."""
         own = {loan.caller: loan for loan in loans if loan.to == self._host}
         self._borrowed[lender] = own
--- a/peridotdock/logs.py
+++ b/peridotdock/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, bounded, on a stream that may not be read."""
+"""Logging of JSON lines through a bounded buffer that never blocks on the reader."""
 
 import logging
 import os
@@ -8,16 +8,16 @@
 from pythonjsonlogger.json import JsonFormatter
 
 FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
-# Lines kept while nobody reads the stream: some seconds of a busy host, under a megabyte.
+# Lines buffered while the stream is not read: some seconds of a busy host, under a megabyte.
 MAX_BUFFERED_LINES = 2000
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines without ever waiting for the reader; the oldest are lost first.
+    """Writes lines without blocking and drops the oldest ones when its buffer is full.
 
-    Failure guarded against: whoever reads the logs stops reading, the pipe fills, and the next
-    line holds up every stream of the host. The pipe is written as far as it takes bytes; the rest
-    waits here, bounded, and a line says how many were left out.
+    Failure guarded against: the reader of the logs stops reading, the pipe fills up, and the next
+    line blocks every stream of the host. The handler writes only as many bytes as the pipe takes
+    and buffers the rest; a later line reports how many lines were dropped.
     """
 
     def __init__(self, stream: TextIO, max_lines: int = MAX_BUFFERED_LINES):
@@ -30,7 +30,7 @@
         os.set_blocking(self._fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line and write as much as the stream takes."""
+        """Queue a line and write as much as the stream accepts without blocking."""
         try:
             self._lines.append(self.format(record).encode() + b"\n")
         except Exception:
@@ -52,7 +52,7 @@
             self._unwritten = self._unwritten[written:]
 
     def _next_line(self) -> bytes:
-        """Return the next line, or first one that says how many were left out."""
+        """Return the next line, preceded by a report of dropped lines if there are any."""
         if not self.lost:
             return self._lines.popleft()
         lost, self.lost = self.lost, 0
@@ -64,20 +64,20 @@
 
 
 class DeliberateAbortFilter(logging.Filter):
-    """Leaves out the server's report of answers that were broken off on purpose."""
+    """Drops the server's error reports about answers that peridotdock aborted deliberately."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether a record is to be logged."""
+        """Return whether to log a record."""
         exc = record.exc_info[1] if record.exc_info else None
         return not getattr(exc, "broken_on_purpose", False)
 
 
 def set_up(level: str, stream: TextIO, host: str) -> None:
-    """Send all logs of the process to ``stream`` as JSON lines."""
+    """Write all logs of the process to ``stream`` as JSON lines."""
     try:
         handler: logging.Handler = BoundedHandler(stream)
     except (OSError, ValueError):
-        # A stream without a descriptor, as tests use, can't fill up.
+        # A stream without a file descriptor, as in tests, never blocks.
         handler = logging.StreamHandler(stream)
     rename = {"asctime": "time", "levelname": "level", "message": "event"}
     handler.setFormatter(JsonFormatter(FORMAT, rename_fields=rename, static_fields={"host": host}))
--- a/peridotdock/loop_iterations.py
+++ b/peridotdock/loop_iterations.py
@@ -1,7 +1,7 @@
-"""An event loop that knows when its turns began and how late its timers were.
+"""An event loop that measures its iterations and the lag of its timers.
 
-In one turn a loop reads what is ready, then runs callbacks and timers. A turn that lasts long makes
-everything late: timers, reads, new connections. All times are seconds of the monotonic clock.
+In one iteration a loop reads ready data, then runs callbacks and timers. A long iteration delays
+timers, reads and new connections. All times are monotonic seconds.
 """
 
 import asyncio
@@ -11,26 +11,26 @@
 from collections import deque
 from collections.abc import Callable
 
-# A wait for events that is longer was a wait: nothing was ready when it began. Shorter ones are
-# the call itself, which takes some microseconds.
+# A longer wait for events means that nothing was ready when it began. Shorter ones are the duration
+# of the call itself, which takes some microseconds.
 MIN_WAIT_SECONDS = 0.001
-# Turns that are remembered; a new connection is accepted two turns before its first read.
+# Number of recorded iterations; a new connection is accepted two iterations before its first read.
 RECORDED_ITERATIONS = 8
-# Turns of the loop from the one that accepts a connection to the one that sets it up.
+# Iterations from the one that accepts a connection to the one that sets it up.
 ACCEPT_ITERATIONS = 2
-# Connections that one listening socket gives in one turn. Failure guarded against: a crowd connects
-# and is set up whole before the next event of a stream is passed on; with this many a turn, setting
-# them up takes a few milliseconds.
+# Connections accepted from one listening socket per iteration. Failure guarded against: a burst of
+# connections is set up completely before the next event of a stream is passed on. Setting up this
+# many takes a few milliseconds.
 ACCEPTS_PER_ITERATION = 32
 WINDOW_SECONDS = 1.0
 
 
 class LoopIterations:
-    """The last turns of one loop.
+    """Times and lag of the last iterations of one loop.
 
-    A timer that is late by ``long`` seconds or more belongs to a series, which began at
-    ``long_since``. It ends when no timer was that late for two windows: from then on :meth:`lag`
-    doesn't show the last one any more.
+    A timer that is late by ``lag_threshold`` seconds or more belongs to a period of lag, which
+    began at ``lag_since``. The period ends after two windows without such a timer, when
+    :meth:`lag` no longer includes the last one.
     """
 
     def __init__(self, monotonic: Callable[[], float] = time.monotonic):
@@ -53,7 +53,7 @@
         self.lag_since = self._started_at
 
     def end(self) -> float:
-        """Note the end of a turn and return that time."""
+        """Record the end of an iteration and return its time."""
         now = self.monotonic()
         self._record_lag(now, now - self._started_at)
         self._lengths.append(now - self._started_at)
@@ -61,7 +61,7 @@
         return now
 
     def begin(self, timeout: float | None) -> None:
-        """Note the start of a turn, after a wait that ``timeout`` was to end."""
+        """Record the start of an iteration, after a wait for events of at most ``timeout``."""
         now = self.monotonic()
         waited = now - self._ended
         if timeout is not None and waited > max(0.0, timeout):
@@ -80,7 +80,7 @@
         self._lagged_at = now
 
     def _roll_window(self, now: float) -> None:
-        """Begin a new window of a second when the last one is over."""
+        """Start a new window of ``WINDOW_SECONDS`` when the last one is over."""
         passed = now - self._window_start
         if passed < WINDOW_SECONDS:
             return
@@ -89,13 +89,14 @@
         self._window_start = now
 
     def earliest_arrival(self, back: int = 0) -> float:
-        """Return the earliest time at which something read ``back`` turns ago can have come."""
+        """Return the earliest possible arrival time of data read ``back`` iterations ago."""
         return self._earliest_arrivals[-1 - back]
 
     def count_accept(self) -> float:
-        """Count a connection that is being set up; return the earliest time it can have come.
+        """Count a connection that is being set up; return its earliest possible arrival time.
 
-        While each turn accepts as many as it may, others were left waiting the turn before.
+        While each iteration accepts ``ACCEPTS_PER_ITERATION``, the connections it accepts may have
+        waited since the burst began.
         """
         if self.count != self._burst_iteration:
             burst_continues = (
@@ -109,25 +110,25 @@
         return self._burst_arrival
 
     def median_length(self) -> float:
-        """Return how long a turn lasts at present: the median, which one long one doesn't move."""
+        """Return the median length of the last iterations; a single long one does not shift it."""
         return sorted(self._lengths)[RECORDED_ITERATIONS // 2]
 
     def lag(self) -> float:
-        """Return the most by which a timer was late in the last second, the present turn's too."""
+        """Return the maximum lag of a timer in the last second, the current iteration included."""
         now = self.monotonic()
         self._roll_window(now)
         return max(self._max_lag, self._previous_max_lag, now - self._started_at)
 
 
 class IterationSelector(selectors.DefaultSelector):
-    """A selector that tells :class:`Turns` of each wait."""
+    """A selector that reports each wait to :class:`LoopIterations`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.iterations = LoopIterations()
 
     def select(self, timeout: float | None = None):
-        """Wait for events."""
+        """Wait for events as the base class does, and record the wait."""
         self.iterations.end()
         found = super().select(timeout)
         self.iterations.begin(timeout)
@@ -135,7 +136,7 @@
 
 
 class MeasuredLoop(asyncio.SelectorEventLoop):
-    """An event loop with :class:`Turns`."""
+    """An event loop that records its iterations in ``iterations``."""
 
     def __init__(self) -> None:
         selector = IterationSelector()
@@ -144,7 +145,7 @@
 
 
 class UnknownIterations(LoopIterations):
-    """The turns of a loop that does not tell: all that is read has come just now."""
+    """The iterations of a loop that is not measured: all data counts as just arrived."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -159,14 +160,14 @@
         return self.monotonic()
 
     def lag(self) -> float:
-        """Return nothing."""
+        """Return 0, as the lag is not measured."""
         return 0.0
 
 
-# One for all connections: it notes nothing.
+# Shared by all connections, as it stores no state.
 UNKNOWN_ITERATIONS = UnknownIterations()
 
 
 def find_iterations() -> LoopIterations:
-    """Return the turns of the running loop."""
+    """Return the iterations of the running loop, or a default if it is not measured."""
     return getattr(asyncio.get_running_loop(), "iterations", UNKNOWN_ITERATIONS)
--- a/peridotdock/metrics.py
+++ b/peridotdock/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, with label sets bounded by the manifest and by closed lists."""
+"""Prometheus metrics with bounded sets of label values."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """All metrics of one process, in a registry of its own."""
+    """All metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -69,7 +69,7 @@
         return Counter(f"peridotdock_{name}", text, labels, registry=self.registry)
 
     def item_label(self, item: str) -> str:
-        """Return ``item``, or one shared label once there are too many different ones."""
+        """Return ``item``, or ``OTHER_LABEL`` once ``MAX_ITEM_LABELS`` items have labels."""
         if item in self._items:
             return item
         if len(self._items) >= MAX_ITEM_LABELS:
@@ -78,5 +78,5 @@
         return item
 
     def render(self) -> bytes:
-        """Return the text that a scraper reads."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/peridotdock/prefix.py
+++ b/peridotdock/prefix.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes as chains of block hashes, the unit in which engines cache them."""
+"""Prompt prefixes as chains of block hashes, the unit in which engines cache prompts."""
 
 import struct
 
@@ -11,9 +11,9 @@
 
 
 def hash_blocks(seed: str, text: str) -> tuple[int, ...]:
-    """Return a hash for each whole block of ``text``; each covers all the text before it.
+    """Return a hash for each complete block of ``text``; each also covers all preceding text.
 
-    ``seed`` is the item: its cache is not shared with that of another.
+    ``seed`` is the item key, as different items share no cached blocks.
     """
     digest = xxhash.xxh64_intdigest(seed.encode())
     chain = []
@@ -25,5 +25,5 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return the number of prompt tokens, estimated from the length."""
+    """Return an estimate of the number of prompt tokens, from the length of the text."""
     return max(1, len(text) // CHARS_PER_TOKEN)
--- a/peridotdock/reasons.py
+++ b/peridotdock/reasons.py
@@ -1,4 +1,4 @@
-"""Why callers were not served in time, from hosts' logs: each request under its first cause."""
+"""Summary of hosts' logs: why requests failed or were late, each under its first cause."""
 
 import json
 import re
@@ -14,7 +14,7 @@
 
 @dataclass
 class Reason:
-    """What kept requests from being served in time, when, and at which endpoints."""
+    """A cause of failed or late requests, with its time range, requests and endpoints."""
 
     name: str
     first: str
@@ -23,7 +23,7 @@
     endpoints: dict[str, int] = field(default_factory=dict)
 
     def note(self, row: dict[str, Any]) -> None:
-        """Count a request."""
+        """Count the request of a log line."""
         self.last = row["time"]
         self.requests.add(row["request"])
         endpoint = row.get("endpoint", "")
@@ -31,7 +31,7 @@
             self.endpoints[endpoint] = self.endpoints.get(endpoint, 0) + 1
 
     def describe(self) -> dict[str, Any]:
-        """Return the row of the table."""
+        """Return the row of the command's table."""
         worst = max(self.endpoints, key=self.endpoints.__getitem__, default="")
         return {
             "reason": self.name,
@@ -44,7 +44,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Give the log lines about requests; what stands before a line's JSON is passed over."""
+    """Yield the parsed log lines about requests; any text before a line's JSON is ignored."""
     for line in lines:
         _, brace, rest = line.partition("{")
         try:
@@ -56,7 +56,7 @@
 
 
 def name_reason(row: dict[str, Any]) -> str:
-    """Return why the request of a log line was not served in time; empty where it says nothing."""
+    """Return the cause of failure or lateness that a log line states, or an empty string."""
     event, detail = row.get("event", ""), row.get("detail", "")
     if event == "refused":
         return "refused: " + NUMBER_PATTERN.sub("N", detail)
@@ -71,10 +71,10 @@
 
 
 def find_reasons(lines: Iterable[str], since: str = "", until: str = "~") -> list[dict[str, Any]]:
-    """Return the reasons, those with the most requests first.
+    """Return the reasons as table rows, ordered by falling number of requests.
 
-    A request counts once, under the first cause that its lines name. ``since`` and ``until`` are
-    compared with the beginning of each line's time.
+    A request counts once, under the first cause in its log lines. ``since`` (inclusive) and
+    ``until`` (exclusive) are compared as strings with the time of each line.
     """
     reasons: dict[str, Reason] = {}
     counted: set[str] = set()
--- a/peridotdock/request_parsing.py
+++ b/peridotdock/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests: bodies, headers and limits, each checked before anything is done."""
+"""Parsing and validation of callers' requests, before any of their work begins."""
 
 import math
 import re
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Part:
-    """A part of a chat message."""
+    """A content part of a chat message; parts other than text have no text."""
 
     text: str = ""
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ModelBody:
-    """The fields of a request that routing reads; all others are passed on untouched."""
+    """The fields of a request that routing reads; the body is forwarded unchanged."""
 
     model: str
     messages: list[Message] = field(default_factory=list)
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Headers:
-    """The headers of a caller's request that peridotdock reads."""
+    """The parsed headers of a caller's request; ``key`` is empty without an idempotency key."""
 
     key: str
     deadline_seconds: float | None
@@ -68,7 +68,7 @@
 
 
 def read_headers(raw: Mapping[str, str]) -> Headers | Failure:
-    """Read and check the headers; names in lower case."""
+    """Parse and check the headers, whose names are in lower case."""
     deadline = read_number(raw.get(DEADLINE_HEADER), 1, MAX_DEADLINE_SECONDS * 1000)
     priority = read_number(raw.get(PRIORITY_HEADER), 0, 9)
     for name, value in ((DEADLINE_HEADER, deadline), (PRIORITY_HEADER, priority)):
@@ -87,7 +87,7 @@
 
 
 def read_number(text: str | None, minimum: float, maximum: float) -> float | None | Failure:
-    """Read a number within bounds; None when there is none."""
+    """Parse a number between two inclusive bounds; None when ``text`` is None."""
     if text is None:
         return None
     try:
@@ -100,23 +100,23 @@
 
 
 def make_trace() -> str:
-    """Return a new W3C traceparent."""
+    """Return a new W3C ``traceparent`` header value."""
     return f"00-{uuid.uuid4().hex}-{uuid.uuid4().hex[:16]}-01"
 
 
 def find_caller(accepted: Accepted, authorization: str) -> Caller | Failure:
-    """Return the caller whose token this is."""
+    """Return the caller whose bearer token an ``authorization`` header holds."""
     return accepted.callers.get(read_bearer(authorization)) or Failure(Kind.UNKNOWN_CALLER)
 
 
 def choose_priority(caller: Caller, headers: Headers) -> int:
-    """Return the class of a request: what was asked for, at most what the caller may have."""
+    """Return the priority of a request: the requested one, capped by the caller's own."""
     requested = DEFAULT_PRIORITY if headers.priority is None else headers.priority
     return min(requested, caller.priority)
 
 
 def read_text(body: ModelBody) -> str:
-    """Return the prompt as one text, in the order in which an engine reads it."""
+    """Return the prompt as one text, in the order in which an engine processes it."""
     if isinstance(body.prompt, list):
         return "\n".join(body.prompt)
     if body.prompt:
@@ -125,7 +125,7 @@
 
 
 def flatten(content: str | list[Part] | None) -> str:
-    """Return the text of a message's content."""
+    """Return the text of a message's content, with its parts joined."""
     if isinstance(content, list):
         return "".join(part.text for part in content)
     return content or ""
@@ -140,7 +140,10 @@
     domain: str,
     now: float,
 ) -> ModelRequest | Failure:
-    """Build the request for a model or adapter, or say what is wrong with it."""
+    """Build the request for a model or adapter; a failure when the body is invalid.
+
+    ``now`` is monotonic seconds; the deadline is counted from it.
+    """
     try:
         body = BODY_DECODER.decode(raw)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
@@ -166,7 +169,7 @@
 
 
 def make_routing_profile(item: Item, text: str, priority: int, domain: str) -> RoutingProfile:
-    """Return what routing needs to know."""
+    """Return the routing profile of a prompt for an item."""
     return RoutingProfile(
         item=item.key,
         tokens=count_tokens(text),
@@ -178,7 +181,7 @@
 
 
 def is_repeatable(service: Service, method: str, path: str) -> bool:
-    """Tell whether the manifest allows a call to be sent more than once."""
+    """Return whether the manifest allows a call to be sent more than once."""
     for rule in service.repeatable:
         if rule.method not in ("*", method):
             continue
@@ -198,7 +201,7 @@
     headers: Headers,
     now: float,
 ) -> ServiceRequest:
-    """Build a call to a plain service; the path is the part behind its prefix."""
+    """Build a call to a plain service; ``path`` is the part after the service's prefix."""
     deadline = headers.deadline_seconds or service.target_ms / 1000 * SERVICE_DEADLINE_FACTOR
     return ServiceRequest(
         request_id=uuid.uuid4().hex,
@@ -214,7 +217,7 @@
 
 
 def list_models(accepted: Accepted) -> dict[str, Any]:
-    """Return the answer to ``/v1/models``."""
+    """Return the response body of ``/v1/models``."""
     rows = [
         {"id": name, "object": "model", "created": 0, "owned_by": accepted.manifest.deployment.name}
         for name in accepted.items
--- a/peridotdock/requests.py
+++ b/peridotdock/requests.py
@@ -1,4 +1,4 @@
-"""A request on its way: what was asked, where it stands, and what each loss means there."""
+"""Callers' requests, their states, and the error kind for a loss in each state."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 from peridotdock.errors import Failure, Kind, Ran
 
-# Bytes of a content id: among a million contents, two share one with a chance of 1 in 37 million.
+# Bytes of a content ID: among a million contents, two collide with a chance of 1 in 37 million.
 CONTENT_ID_BYTES = 8
 
 
 class RequestState(StrEnum):
-    """How far a request has come."""
+    """The progress of a request."""
 
     RECEIVED = "received"
     ADMITTED = "admitted"
@@ -24,7 +24,7 @@
 
 
 class Loss(StrEnum):
-    """What can end a request before its answer is whole."""
+    """The causes that end a request before its answer is complete."""
 
     CALLER_GONE = "caller_gone"
     ENDPOINT_GONE = "endpoint_gone"
@@ -32,8 +32,8 @@
     DEADLINE = "deadline"
 
 
-# Up to CLAIMED no byte has left for an endpoint, so the request was not run. From SENT on it may
-# have run, whatever we know of the connection.
+# Up to CLAIMED no byte has been sent to an endpoint, so the request was not run. From SENT on it
+# may have run, whatever the state of the connection.
 KIND_BY_LOSS: dict[tuple[RequestState, Loss], Kind] = {
     (RequestState.RECEIVED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
     (RequestState.ADMITTED, Loss.DEADLINE): Kind.DEADLINE_UNSENT,
@@ -54,7 +54,7 @@
 }
 
 
-# Failures of one endpoint, after which another one may be asked.
+# Failures of one endpoint, after which the request may be sent to another.
 RETRY_KINDS = frozenset(
     {
         Kind.ENDPOINT_REFUSED,
@@ -68,20 +68,20 @@
 )
 
 
-# What is found when an endpoint ends while it has a request.
+# The kinds that result when an endpoint ends during a request.
 BROKEN_CONNECTION_KINDS = frozenset({Kind.ENDPOINT_LOST, Kind.ANSWER_CUT})
 
 
 def loss_failure(state: RequestState, loss: Loss, reason: str = "") -> Failure:
-    """Return what a loss in a state means to the caller."""
+    """Return the failure for a loss in a state."""
     return Failure(KIND_BY_LOSS[(state, loss)], reason or loss.value)
 
 
 def mark_maybe_ran(failure: Failure, earlier_send: bool) -> Failure:
-    """Say "maybe" when an earlier send of the same request may have run.
+    """Set ``ran`` to "maybe" when an earlier send of the same request may have run.
 
-    Failure guarded against: the first send is lost in the middle, the retry is refused, and the
-    caller is told "not run" by the last word alone, although the first send ran.
+    Failure guarded against: the first send is lost midway and the retry is refused. The refusal
+    alone would report "not run" to the caller, although the first send ran.
     """
     if not earlier_send or failure.may_have_run:
         return failure
@@ -89,12 +89,12 @@
 
 
 def connection_broke(failure: Failure) -> bool:
-    """Tell whether a request was lost as its endpoint closed the connection, not by silence."""
+    """Return whether a request was lost because its connection closed, not because of silence."""
     return failure.kind in BROKEN_CONNECTION_KINDS and failure.reason != Loss.SILENCE
 
 
 def hash_content(body: bytes, *names: str) -> str:
-    """Return what all attempts with the same content share, in hexadecimal digits."""
+    """Return the content ID of a body and names, in hexadecimal digits."""
     digest = blake2b(digest_size=CONTENT_ID_BYTES)
     for name in names:
         raw = name.encode()
@@ -105,15 +105,15 @@
 
 
 class CallerConnection(Protocol):
-    """The caller's end of a request."""
+    """The connection between a caller and this host."""
 
     def disconnected(self) -> bool:
-        """Tell whether the connection to the caller is closed."""
+        """Return whether the caller's connection is closed or closing."""
 
 
 @dataclass(frozen=True)
 class RoutingProfile:
-    """What routing needs to know of a request."""
+    """The properties of a request that routing uses; the first-token target is in seconds."""
 
     item: str
     tokens: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True)
 class ModelRequest:
-    """A request for a model or adapter. ``deadline`` in monotonic seconds."""
+    """A request for a model or adapter; ``deadline`` is in monotonic seconds."""
 
     request_id: str
     caller_id: str
@@ -140,13 +140,16 @@
 
     @property
     def content_id(self) -> str:
-        """Return what all attempts at the same request share; each has another request id."""
+        """Return the ID shared by all requests of a caller with the same content.
+
+        Request IDs differ between a caller's attempts at the same request.
+        """
         return hash_content(self.body, self.caller_id, self.path, self.profile.item)
 
 
 @dataclass(frozen=True)
 class ServiceRequest:
-    """A call to a plain service, to be carried whole."""
+    """A call to a plain service; ``deadline`` is in monotonic seconds."""
 
     request_id: str
     caller_id: str
@@ -161,7 +164,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """An answer: its body is whole, or comes in parts that end with the whole answer."""
+    """An answer whose body is either complete bytes or an iterator over its parts."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
--- a/peridotdock/retries.py
+++ b/peridotdock/retries.py
@@ -1,4 +1,4 @@
-"""The retry budget: retries are a share of first sends, so they never amplify a failure."""
+"""The retry budget bounds retries to a share of first sends, so they cannot amplify failures."""
 
 RETRY_SHARE = 0.1
 RETRY_BURST = 10.0
@@ -6,10 +6,10 @@
 
 
 class RetryBudget:
-    """A bucket filled by first sends and emptied by retries.
+    """A token bucket filled by first sends and drained by retries.
 
-    Over all hosts together, sends are at most ``1 + SHARE`` times the requests, plus ``BURST``
-    for each host.
+    Across all hosts, sends are at most ``1 + RETRY_SHARE`` times the requests, plus
+    ``RETRY_BURST`` for each host.
     """
 
     def __init__(self, share: float = RETRY_SHARE, burst: float = RETRY_BURST):
@@ -18,11 +18,11 @@
         self._level = burst
 
     def deposit(self) -> None:
-        """Count a first send."""
+        """Add the tokens that a first send earns."""
         self._level = min(self._burst, self._level + self._share)
 
     def take(self) -> bool:
-        """Take a retry; false when there is none."""
+        """Take a token for a retry; False when there is none."""
         if self._level < 1.0:
             return False
         self._level -= 1.0
--- a/peridotdock/routing.py
+++ b/peridotdock/routing.py
@@ -1,9 +1,9 @@
-"""Which endpoint a request goes to: the one predicted to give its first token soonest.
+"""Routing: each request goes to the endpoint with the earliest predicted first token.
 
-Pure functions over what the fleet knows. Each part of the prediction is kept only because
-switching it off made attainment worse; docs/design/routing.md has the figures. Blending many
-weighted signals into one score, as "The Router" does, was weighed there against a prediction
-in seconds, which can also be held against the request's own target.
+The functions are pure and work on the state of the fleet. Each part of the prediction is kept only
+because disabling it lowered attainment; docs/design/routing.md has the figures. It also compares
+the prediction with a score of many weighted signals, as in "The Router"; a prediction in seconds
+can also be checked against the request's own target.
 """
 
 import random
@@ -26,14 +26,14 @@
 TIE_SHARE = 0.1
 UNLOADED_RETRY_SECONDS = 2.0
 ROUTING_DECISIONS = frozenset({"affinity", "correction", "prediction", "spread"})
-# Share of the target that the predicted wait may take, by priority 0 to 9. Low classes leave
-# room, so that a burst sheds them first and what was promised to high classes still holds.
+# Share of the target that the predicted wait may take, by priority 0 to 9. Lower priorities have
+# smaller shares, so that a burst sheds them first and higher priorities still meet their targets.
 ALLOWED_SHARE = (0.5, 0.55, 0.6, 0.65, 0.7, 0.75, 0.85, 0.95, 1.0, 1.05)
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint and what was predicted for it: seconds to the first token, cached tokens."""
+    """An endpoint with its predicted seconds to the first token and cached prompt tokens."""
 
     state: EndpointState
     predicted_seconds: float
@@ -41,25 +41,25 @@
 
 
 def is_usable(state: EndpointState, now: float) -> bool:
-    """Tell whether new work may go to an endpoint."""
+    """Return whether an endpoint takes new requests and has not failed recently."""
     return accepts_requests(state, now) and state.bad_until <= now
 
 
 def accepts_requests(state: EndpointState, now: float) -> bool:
-    """Tell whether an endpoint may get new work although it failed lately."""
+    """Return whether an endpoint takes new requests, even if it failed recently."""
     return not state.down and not state.leaving and state.rests_until <= now
 
 
 def find_retry_delay(
     candidates: Sequence[EndpointState], now: float, minimum: float = UNLOADED_RETRY_SECONDS
 ) -> float:
-    """Return when to come back where no endpoint takes work: when the first has rested."""
+    """Return the retry delay when no endpoint takes requests: until the first backoff ends."""
     rests = [s.rests_until - now for s in candidates if not s.down and not s.leaving]
     return max(minimum, min(rests, default=0.0))
 
 
 def expect_cached(state: EndpointState, profile: RoutingProfile, now: float) -> int:
-    """Return the prompt tokens thought to be cached there, cut by the trust in the hints."""
+    """Return the expected number of cached prompt tokens, scaled by the trust in cache hints."""
     hits = state.hit_blocks(profile.blocks, now) * BLOCK_TOKENS
     return min(profile.tokens, int(hits * state.trust))
 
@@ -67,7 +67,7 @@
 def predict(
     state: EndpointState, profile: RoutingProfile, now: float, decisions: frozenset[str]
 ) -> Choice:
-    """Predict the time to the first token on one endpoint."""
+    """Predict the time to the first token on an endpoint."""
     cached = expect_cached(state, profile, now) if "affinity" in decisions else 0
     in_system, prefill = estimate_load(state, now, "correction" in decisions)
     load = state.load
@@ -80,10 +80,10 @@
 
 
 def estimate_load(state: EndpointState, now: float, corrected: bool) -> tuple[int, float]:
-    """Return requests in the engine and prompt tokens before a new one.
+    """Return the requests in the engine and the prompt tokens queued ahead of a new one.
 
-    A report lags, so what it says is carried forward: prefill goes on at the engine's rate, and
-    what this host sent or saw end since the report's time is counted at once.
+    A load report lags, so it is corrected: prefill is assumed to continue at the engine's rate,
+    and requests that this host sent or saw end since the report are counted at once.
     """
     load = state.load
     if not corrected:
@@ -102,14 +102,14 @@
     rng: random.Random,
     decisions: frozenset[str] = ROUTING_DECISIONS,
 ) -> Choice | Failure:
-    """Choose among the endpoints that hold the item."""
+    """Choose one of the endpoints that hold the item."""
     sampled = sample(candidates, profile, rng) if len(candidates) > MAX_UNSAMPLED else candidates
     usable = [state for state in sampled if is_usable(state, now)]
     if not usable and sampled is not candidates:
         usable = [state for state in candidates if is_usable(state, now)][:MAX_UNSAMPLED]
     if not usable:
-        # Ejecting all would turn a shared fault into an outage of our own making: when none is
-        # left, those that only failed lately are tried again.
+        # Ejecting every endpoint would turn a shared fault into a full outage. When none is left,
+        # those that are ejected only for recent failures are tried again.
         usable = [s for s in candidates if accepts_requests(s, now)]
     if not usable:
         return Failure(Kind.NO_ENDPOINT, profile.item, find_retry_delay(candidates, now))
@@ -119,8 +119,8 @@
     best = min(choices, key=lambda choice: choice.predicted_seconds)
     if "spread" not in decisions:
         return best
-    # Hosts that see the same lagging report would all send to the same one; near ties are
-    # broken at random, so they spread.
+    # Hosts with the same lagging report would all choose the same endpoint. Near ties are broken
+    # at random, which spreads their requests.
     limit = best.predicted_seconds * (1 + TIE_SHARE) + TIE_SECONDS
     near_ties = [c for c in choices if c.predicted_seconds <= limit and c.cached >= best.cached]
     return rng.choice(near_ties)
@@ -129,7 +129,7 @@
 def sample(
     states: Sequence[EndpointState], profile: RoutingProfile, rng: random.Random
 ) -> list[EndpointState]:
-    """Return a few at random and the one that seems to hold most of the prefix."""
+    """Return random endpoints and, if there are few enough to scan, some that cache the prefix."""
     chosen = rng.sample(states, SAMPLE_SIZE)
     if profile.blocks and len(states) <= MAX_PREFIX_SCAN:
         first = profile.blocks[0]
@@ -138,10 +138,11 @@
 
 
 def admit(choice: Choice, profile: RoutingProfile) -> Failure | None:
-    """Refuse now what would miss its target anyway, with the time after which it would not.
+    """Refuse a request that would miss its target, with the delay after which it would not.
 
-    A request that misses is a penalty and delays those after it. Its own prefill is not held
-    against it when it would be late even on an idle engine: that is not a matter of load.
+    A request that misses its target incurs a penalty and delays those after it. A request whose
+    own prefill would make it late even on an idle engine is not refused for that, as the cause is
+    not load.
     """
     load = choice.state.load
     unloaded = (profile.tokens - choice.cached) / max(1.0, load.prefill_rate)
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: carried whole, and sent again only where the manifest allows it."""
+"""Proxying of calls to plain services, with retries only where the manifest allows them."""
 
 import asyncio
 from collections.abc import Coroutine, Mapping
@@ -39,14 +39,14 @@
     }
 )
 
-# Seconds until a caller may come back when no endpoint of a service takes a call.
+# Minimum retry delay for a caller when no endpoint of a service takes a call.
 RETRY_SECONDS = 1.0
-# The server that answers the caller writes these itself.
+# Headers of an answer that this host's own HTTP server sets.
 SERVER_HEADERS = HOP_HEADERS | {"content-type", "date", "server"}
 
 
 class ServiceCaller:
-    """Carries calls to plain services."""
+    """Sends calls to plain services on behalf of callers."""
 
     def __init__(self, ctx: Context, fleet: Fleet, endpoints: HttpEndpoints, budget: RetryBudget):
         self._ctx = ctx
@@ -56,7 +56,7 @@
         self.services: dict[str, frozenset[str]] = {}
 
     async def run(self, req: ServiceRequest, caller: CallerConnection) -> Reply | Failure:
-        """Carry a call to a plain service; only one that may be repeated is sent again."""
+        """Send a call to a plain service; retry one that may have run only if it is repeatable."""
         maybe_ran = False
         tried: set[str] = set()
         outcome: Reply | Failure = self._no_endpoint(req)
@@ -85,12 +85,12 @@
         return mark_maybe_ran(outcome, maybe_ran) if failed(outcome) else outcome
 
     def _service_endpoints(self, req: ServiceRequest) -> list[EndpointState]:
-        """Return the endpoints of a service."""
+        """Return the endpoints of the call's service."""
         names = self.services.get(req.service, ())
         return [state for state in self._fleet.states.values() if state.name in names]
 
     def _no_endpoint(self, req: ServiceRequest) -> Failure:
-        """Return the refusal of a call where no endpoint takes one."""
+        """Return the failure for a call that no endpoint takes."""
         now = self._ctx.clock.monotonic()
         retry = find_retry_delay(self._service_endpoints(req), now, RETRY_SECONDS)
         return Failure(Kind.NO_ENDPOINT, req.service, retry)
@@ -141,7 +141,7 @@
         req: ServiceRequest,
         caller: CallerConnection,
     ) -> Reply | Failure:
-        """Wait until the deadline; a plain service cannot be asked how far it is."""
+        """Wait until the deadline; a plain service offers no probe of a call's progress."""
         task = asyncio.ensure_future(work)
         try:
             while True:
@@ -160,5 +160,5 @@
 
 
 def filter_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
-    """Return the headers of an answer that go on to the caller."""
+    """Return the headers of an answer that are forwarded to the caller."""
     return tuple((k, v) for k, v in headers.items() if k.lower() not in SERVER_HEADERS)
--- a/peridotdock/serving.py
+++ b/peridotdock/serving.py
@@ -1,4 +1,4 @@
-"""Serve an HTTP application on a socket of ours, within the running loop."""
+"""An HTTP server for an application on pre-bound sockets, within the running event loop."""
 
 import asyncio
 import socket
@@ -13,13 +13,14 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.loop_iterations import ACCEPTS_PER_ITERATION, find_iterations
 
-# Connections that may wait with the kernel; beyond them a caller's first packet is dropped, and it
-# tries again after a second.
+# Connections that may wait in the kernel's accept queue. Beyond them a caller's SYN packet is
+# dropped and retransmitted after a second.
 BACKLOG = 1024
 KEEP_ALIVE_SECONDS = 30
 MAX_HEADER_BYTES = 32 * 1024
-# Failure: something on the way forgets a connection, and no byte comes any more. It shows as a
-# connection that stays open for good. The kernel probes idle ones and gives up on unanswered data.
+# Failure guarded against: a device on the network path drops the state of a connection, no byte
+# arrives any more, and the connection stays open forever. With these options the kernel probes idle
+# connections and closes one whose probes or data stay unacknowledged.
 KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 10),
@@ -28,21 +29,21 @@
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 20_000),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
 )
-# Turns of the loop from the one that sets a connection up to its first read.
+# Iterations of the loop from the one that sets a connection up to its first read.
 FIRST_READ_ITERATIONS = 1
-# In a request's scope: the earliest monotonic time at which it can have come.
+# Key of a request's scope for the earliest monotonic time at which it can have arrived.
 ARRIVAL_KEY = "came"
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 def make_application() -> Application:
-    """Return an application with a router of its own; blacksheep's default one is shared."""
+    """Return an application with a separate router; blacksheep's default router is shared."""
     return Application(router=Router(), show_error_details=False)
 
 
 def add_route(app: Application, method: str, path: str, handler: Handler) -> None:
-    """Add a route; blacksheep marks the function it is given, which a bound method refuses."""
+    """Add a route; blacksheep sets attributes on its handler, which a bound method rejects."""
 
     async def handle(request: Request) -> Response:
         return await handler(request)
@@ -51,7 +52,7 @@
 
 
 async def read_body(request: Request, max_bytes: int) -> bytes | Failure:
-    """Read a body of at most ``most`` bytes; a longer one is refused before it is held whole."""
+    """Read a body of at most ``max_bytes``; a longer one is refused before it is fully read."""
     too_large = Failure(Kind.TOO_LARGE, f"at most {max_bytes} bytes")
     length = request.get_first_header(b"content-length")
     if length is not None and length.isdigit() and int(length) > max_bytes:
@@ -67,7 +68,7 @@
 
 
 class _SignalFreeServer(uvicorn.Server):
-    """A server that leaves signals to the daemon."""
+    """A uvicorn server that installs no signal handlers; the daemon handles signals."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -75,24 +76,24 @@
 
 
 class TimedConnection(HttpToolsProtocol):
-    """A connection that knows since when a request read from it can have waited unread.
+    """A connection that records the earliest time at which each of its requests can have arrived.
 
-    Failure guarded against: the loop is behind, requests lie with the kernel, and their time counts
-    from when they are read. They are held on after their deadline, and endpoints are handed more
-    time than is left. It shows as answers long after the time-out of their route.
+    Failure guarded against: the loop lags, requests wait in kernel buffers, and their deadlines are
+    counted from when they are read. Requests are then kept after their deadline, endpoints are
+    given more time than is left, and answers arrive long after the timeout of their route.
     """
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Note when the connection can have come; its first request may have come with it."""
+        """Record the earliest arrival of the connection, which its first request may share."""
         super().connection_made(transport)
         self._iterations = find_iterations()
         self._arrived_at = self._iterations.count_accept()
         self._after_first_read = self._iterations.count + FIRST_READ_ITERATIONS + 1
 
     def on_message_begin(self) -> None:
-        """Note for the request that begins when it can have come.
+        """Record the earliest arrival of the request in its scope.
 
-        One that was not there at the connection's first read came later.
+        A request that begins after the connection's first read arrived after the connection.
         """
         super().on_message_begin()
         with_connection = self._iterations.count < self._after_first_read
@@ -102,7 +103,7 @@
 
 
 def bind_socket(ip: str, port: int) -> socket.socket:
-    """Return a bound socket whose connections notice a dead peer."""
+    """Return a bound socket whose connections detect a dead peer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     for level, option, value in KEEPALIVE_OPTIONS:
@@ -112,7 +113,7 @@
 
 
 class Server:
-    """An application on bound sockets; ``address`` is IP:PORT of the first."""
+    """A server for an application on bound sockets; ``address`` is IP:PORT of the first."""
 
     def __init__(
         self,
@@ -129,7 +130,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> "Server":
-        """Begin to accept; returns when connections are taken."""
+        """Start the server; return once it accepts connections."""
         await self.app.start()
         cfg = uvicorn.Config(
             self._serve,
@@ -151,7 +152,8 @@
             if self._task.done():
                 self._task.result()
             await asyncio.sleep(0.001)
-        # The loop takes the number that may wait for the number to accept in one turn.
+        # asyncio uses ``backlog`` also as the number of connections to accept per iteration, so the
+        # larger accept queue is set afterwards.
         for sock in self._socks:
             sock.listen(BACKLOG)
         return self
@@ -164,7 +166,7 @@
         await self.app(scope, receive, send)
 
     async def stop(self) -> None:
-        """Close the socket and the connections that are left."""
+        """Close the sockets and the remaining connections."""
         if self._server is None or self._task is None:
             for sock in self._socks:
                 sock.close()
--- a/peridotdock/status.py
+++ b/peridotdock/status.py
@@ -1,4 +1,4 @@
-"""Exit statuses of both commands."""
+"""Exit statuses of ``peridotdock`` and ``peridotdockd``."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitStatus(IntEnum):
-    """What a process says with its exit status."""
+    """The exit statuses of both commands; part of the command-line interface."""
 
     OK = 0
     ERROR = 1
@@ -30,5 +30,5 @@
 
 
 def to_exit_status(kind: str) -> ExitStatus:
-    """Map an error kind, as it stands in an answer, to an exit status."""
+    """Map the error kind of a response to an exit status; ``ERROR`` for kinds without one."""
     return STATUS_BY_KIND.get(kind, ExitStatus.ERROR)
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -1,8 +1,8 @@
-"""Passing a streamed answer on: frames checked for whose they are, each given out once, resumed.
+"""Relaying of streamed answers: each frame is verified, passed on once, and resumed after a break.
 
-A stream that breaks off or goes silent is looked for over a fresh connection. If the engine still
-has it, it goes on where the caller's copy ends. If not, the caller gets an error frame and no
-closing ``[DONE]``, by which a cut answer can be told from a whole one.
+After a stream breaks or goes silent, the engine is probed over a new connection. If it still has
+the stream, the stream resumes where the caller's copy ends. If not, the caller gets an error frame
+and no closing ``[DONE]``, which distinguishes an incomplete answer from a complete one.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True)
 class CachedTokens:
-    """How much of the prompt the engine had cached."""
+    """The number of prompt tokens that the engine had cached."""
 
     cached_tokens: int = 0
 
 
 @dataclass(frozen=True)
 class FrameUsage:
-    """What an engine says of a request at its end."""
+    """The token counts that an engine reports at the end of a request."""
 
     prompt_tokens: int = 0
     prompt_tokens_details: CachedTokens = field(default_factory=CachedTokens)
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class FrameHead:
-    """The part of a frame that is checked; the rest is passed on as it is."""
+    """The fields of a frame that are checked; the frame is passed on unchanged."""
 
     id: str = ""
     offset: int | None = None
@@ -54,10 +54,11 @@
 
 
 def read_head(data: bytes, request_id: str) -> FrameHead | Failure:
-    """Read a frame or a whole answer as far as it is checked.
+    """Parse and check the head of a frame or of a whole answer.
 
-    Failure guarded against: answers cross within an engine or on the way, and a caller gets part of
-    another's. The engine names the request in each frame; any other name ends the attempt.
+    Failure guarded against: answers are mixed up within an engine or on the network path, and a
+    caller gets part of another caller's answer. The engine sets the request ID in each frame; any
+    other ID ends the attempt.
     """
     try:
         head = HEAD_DECODER.decode(data)
@@ -69,11 +70,11 @@
 
 
 class StreamSilent(Exception):
-    """No byte came for the time allowed."""
+    """No byte arrived for ``silence_seconds``."""
 
 
 class StreamRelay:
-    """One streamed answer on its way to a caller."""
+    """Relays one streamed answer from an endpoint to a caller."""
 
     def __init__(
         self,
@@ -96,12 +97,12 @@
         self.whole = False
 
     def attach(self, opened: Opened) -> None:
-        """Read from this answer."""
+        """Continue to read from ``opened``."""
         self._opened = opened
         self._buffer = b""
 
     async def release(self) -> None:
-        """Let go of the connection; unless the answer is whole, also stop the engine's work."""
+        """Release the connection; unless the answer is complete, also cancel it on the engine."""
         opened, self._opened = self._opened, None
         if opened is None:
             return
@@ -110,7 +111,7 @@
             self._endpoints.cancel(self._state.url, self._req.request_id)
 
     async def frames(self) -> AsyncIterator[bytes | Failure]:
-        """Give each frame once; a failure is the last thing given."""
+        """Yield each frame once; a failure ends the iteration."""
         while True:
             found = await self._next_frame()
             if failed(found):
@@ -129,7 +130,7 @@
                 return
 
     def _check(self, frame: bytes) -> bytes | Failure:
-        """Return the frame to pass on, nothing for one that was given before, or a failure."""
+        """Return the frame to pass on, empty bytes for a duplicate, or a failure."""
         data = frame[len(DATA) :] if frame.startswith(DATA) else b""
         if data == DONE:
             self.whole = True
@@ -141,7 +142,7 @@
             return head
         if head.usage is not None:
             if self.usage is not None:
-                # The closing frame comes again when only the end of a stream was resumed.
+                # The engine repeats the closing frame when a stream is resumed at its end.
                 return b""
             self.usage = head.usage
         if head.offset is not None:
@@ -172,7 +173,7 @@
         return frame
 
     async def _read(self) -> bytes | Failure:
-        """Read some bytes, looking out for deadline, silence and a caller that has gone."""
+        """Read some bytes, unless the deadline passes, the caller disconnects or none arrive."""
         clock = self._ctx.clock
         silence_deadline = clock.monotonic() + self._ctx.cfg.silence_seconds
         while True:
@@ -191,7 +192,7 @@
                 continue
 
     async def _recover(self, failure: Failure) -> Failure | None:
-        """Find out what became of a stream that broke off or went silent, and go on with it."""
+        """Probe a stream that broke or went silent, and resume it if the engine still has it."""
         if failure.kind is not Kind.ANSWER_CUT:
             return failure
         silent = failure.reason == Loss.SILENCE
@@ -201,7 +202,7 @@
                 RequestState.FIRST_BYTE, Loss.SILENCE if silent else Loss.ENDPOINT_GONE
             )
         if silent and found.tokens <= self._next_offset and not found.done:
-            # The engine is slow, not lost: it has no more than the caller already got.
+            # The engine is slow, not lost: the caller already has all tokens generated so far.
             return None
         if self._resumes >= MAX_RESUMES:
             return loss_failure(RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE, "resumed too often")
--- a/peridotdock/timeouts.py
+++ b/peridotdock/timeouts.py
@@ -1,14 +1,14 @@
-"""Timeouts that a loop which was held up does not turn against the other end."""
+"""Timeouts that do not fire early when the event loop has been blocked."""
 
 import asyncio
 from typing import Any, Self
 
 
 class IterationTimeout:
-    """Ends the work of the running task some iterations of the loop after its time is over.
+    """Cancels the work of the running task a number of loop iterations after its time is over.
 
-    After a turn that lasted long, timers are due before what came meanwhile has been handled: it
-    came in time all the same. ``iterations`` is how many the work needs for that, one at least.
+    After a long iteration, timers fire before data that arrived in time has been handled.
+    ``iterations`` is the number of iterations that the work needs to handle it, at least one.
     """
 
     def __init__(self, seconds: float, iterations: int = 1):
@@ -18,7 +18,7 @@
         self._active = False
 
     async def __aenter__(self) -> Self:
-        """Begin to count."""
+        """Start the timer."""
         await self._limit.__aenter__()
         self._active = True
         loop = asyncio.get_running_loop()
@@ -26,7 +26,7 @@
         return self
 
     async def __aexit__(self, *exc: Any) -> bool | None:
-        """Stop counting; raises TimeoutError when the work was ended."""
+        """Cancel the timer; raise TimeoutError when the work was cancelled."""
         self._active = False
         self._timer.cancel()
         return await self._limit.__aexit__(*exc)
@@ -38,11 +38,11 @@
             self.expire()
 
     def expire(self) -> None:
-        """End the work in the next turn."""
+        """Cancel the work in the next iteration."""
         if self._active:
             self._active = False
             self._limit.reschedule(asyncio.get_running_loop().time())
 
     def expired(self) -> bool:
-        """Tell whether the work was ended."""
+        """Return whether the work was cancelled."""
         return self._limit.expired()
--- a/peridotdock/trials.py
+++ b/peridotdock/trials.py
@@ -1,8 +1,9 @@
-"""Blocked requests that are tried again: by one host of all, one at a time.
+"""Trials of blocked requests: a single host sends them again, one at a time.
 
-Failure guarded against: a request that many callers repeat was at the same ends as the one to
-blame. What is blocked is never answered, and only an answer speaks for it: it would stay blocked
-though it harms nothing. A trial costs one more end at most, and shows which of them is to blame.
+Failure guarded against: a harmless request that many callers repeat was running on the same
+endpoints as a harmful one when they ended, and both are blocked. Only an answer clears a request,
+and a blocked request is never answered, so the harmless one would stay blocked. A trial costs at
+most one more end of an endpoint and shows which request is the cause.
 """
 
 from collections.abc import Callable
@@ -10,12 +11,13 @@
 
 from peridotdock.context import Context
 
-# Seconds after which a trial that neither was answered nor ended an endpoint gives way to the next.
+# Seconds after which a trial without an outcome (an answer or the end of an endpoint) is replaced
+# by the next.
 TRIAL_SECONDS = 5.0
 
 
 class Trials:
-    """The request that this host tries now; ``may_try`` tells whether it is the host to try any."""
+    """The current trial of this host; ``may_try`` returns whether this host runs the trials."""
 
     def __init__(self, ctx: Context, may_try: Callable[[], bool]):
         self._ctx = ctx
@@ -24,7 +26,7 @@
         self._until = float("-inf")
 
     def allows(self, req: Any) -> bool:
-        """Tell whether a blocked request may be sent as a trial, or is on trial already."""
+        """Return whether a blocked request is on trial, starting its trial if that is possible."""
         now = self._ctx.clock.monotonic()
         if self._req is req:
             return True
@@ -35,6 +37,6 @@
         return True
 
     def end(self, req: Any) -> None:
-        """Note that a request has shown what it does: the next one may be tried."""
+        """End the trial of a request, so that the next one can start."""
         if self._req is req:
             self._req, self._until = None, float("-inf")
--- a/peridotdock/workspaces.py
+++ b/peridotdock/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces: who sends a request, by its key, and how much each may send."""
+"""Workspaces, which are the customers that hold keys, and their quotas."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What all hosts together may serve of one workspace: ``rate`` units a second and a ``burst``.
+    """The cluster-wide quota of a workspace: ``rate`` units per second and a ``burst``.
 
-    A unit is a token where ``by_tokens`` is set, else a request. A request that doesn't say how
-    many tokens it asks for counts as ``plain_units``.
+    A unit is a token if ``by_tokens`` is set, otherwise a request. A request without a number of
+    tokens counts as ``default_units``.
     """
 
     rate: float
@@ -20,7 +20,7 @@
     default_units: float = 1.0
 
     def cost(self, tokens: int) -> float:
-        """Return the units of a request that asks for so many tokens, 0 where it doesn't say."""
+        """Return the units of a request for ``tokens`` tokens; 0 means that it states no number."""
         if not self.by_tokens:
             return 1.0
         return float(tokens) if tokens > 0 else self.default_units
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer. ``rank`` goes before its routes' own where it is set; 0 comes first."""
+    """A customer; ``rank``, if set, overrides the rank of its routes; rank 0 is served first."""
 
     name: str
     rank: int | None = None
@@ -36,7 +36,7 @@
 
 
 class Workspaces:
-    """The workspaces of one configuration, by the digests of their keys."""
+    """The workspaces of one configuration, indexed by name and by the digests of their keys."""
 
     def __init__(self, rows: Iterable[tuple[Workspace, Iterable[str]]] = ()):
         self._by_key: dict[str, Workspace] = {}
@@ -47,15 +47,15 @@
                 self._by_key.setdefault(digest, workspace)
 
     def get(self, name: str) -> Workspace | None:
-        """Return the workspace of a name."""
+        """Return the workspace called ``name``, or None."""
         return self._by_name.get(name)
 
     def find(self, digest: str) -> Workspace | None:
-        """Return the workspace that holds a key; none holds ``NO_KEY``."""
+        """Return the workspace that holds the key with this digest; None for ``NO_KEY``."""
         return None if digest == NO_KEY else self._by_key.get(digest)
 
     def quotas(self) -> dict[str, Quota]:
-        """Return the quotas of those workspaces that have one, by name."""
+        """Return the quotas by workspace name; workspaces without one are omitted."""
         rows = self._by_name.values()
         return {row.name: row.quota for row in rows if row.quota is not None}
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions alone: routing, admission, limits, keys, placement, membership of addresses."""
+"""Unit tests of routing, admission, caller limits, keys, retries, placement and addresses."""
 
 import itertools
 import random
@@ -62,8 +62,8 @@
 
     def test_own_sends_count_before_any_report_shows_them(self):
         """
-        A burst comes between two reports. A host that trusted the report alone would send all of
-        it to the endpoint that looked idle.
+        A burst arrives between two load reports. With the report alone, a host would send all of
+        it to the endpoint that was idle at the report.
         """
         states = [state("a"), state("b")]
         counts = {"a": 0, "b": 0}
@@ -90,7 +90,7 @@
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
     def test_cache_hints_expire_after_misses(self):
-        """Evictions that nobody told of: after a few misses an old hint counts no more."""
+        """An engine reports no evictions: after a few misses, old cache hints no longer count."""
         blocks = hash_blocks("m0@1", "x" * BLOCK_CHARS * 4)
         warm = state("a")
         warm.remember(blocks, NOW - 20)
@@ -100,7 +100,7 @@
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
     def test_records_of_an_endpoint_without_reports_are_bounded(self):
-        """A plain service sends no reports, so nothing ever says which sends are old news."""
+        """A plain service sends no load reports, so no report ever clears the recorded sends."""
         service = EndpointState("s", "", "north")
         for number in range(MOST_SENT * 2):
             service.began(f"r{number}", NOW, 3)
@@ -202,8 +202,8 @@
 
     def test_a_loan_that_arrives_late_is_not_used(self):
         """
-        A lends to b, and the word is held up on the way for longer than the loan lasts. A has its
-        share back by then. Were b to use the loan from when it heard of it, both would.
+        Host a lends to host b, and the message is delayed for longer than the loan lasts. By then
+        a uses its share again. If b counted the loan from its receipt, both would use the share.
         """
         world = LimitWorld(2)
         for _ in range(10):
@@ -313,7 +313,7 @@
         )
     )
     def test_no_key_ever_runs_twice_however_long_after(self, steps):
-        """Against a naive table that forgets nothing."""
+        """Compares the table with a set of all keys that ever ran."""
         clock = FakeClock()
         table = KeyTable("h0-" + "b" * 16, clock, 1000)
         keys, ran = {}, set()
@@ -362,7 +362,7 @@
 
 class Placement(unittest.TestCase):
     def follow(self, accepted, views, demand=(), rounds=60, grow=True):
-        """Carry plans out at once until nothing is left to do; return views and moves."""
+        """Apply plans immediately until no moves are left; return the views and all moves."""
         moves = []
         by_name = {view.name: view for view in views}
         for _ in range(rounds):
@@ -485,7 +485,7 @@
         st.integers(2, 3),
     )
     def test_against_naive_and_the_best_of_all(self, sizes, rates, engines):
-        """Never worse than one copy each; at most a stated gap above the exhaustive best."""
+        """The cost is never above that of one copy each, nor above 4 times the optimum plus 60."""
         document = {
             "engines": [builders.engine(f"e{n}", (100,)) for n in range(engines)],
             "models": [builders.model(f"m{n}", size) for n, size in enumerate(sizes)],
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,5 +1,5 @@
-"""What callers see when endpoints fail: whole answers, their own, and a true word on whether
-the request ran. The endpoints' own count of calls is the judge."""
+"""Tests of what callers receive when endpoints fail: complete answers to their own requests, or
+errors that report correctly whether the request ran. The endpoints count their calls for it."""
 
 import asyncio
 import unittest
@@ -44,9 +44,9 @@
 
     async def test_a_frozen_connection_is_found_and_the_stream_goes_on_elsewhere(self):
         """
-        A master waits for a scene. Half-way no byte comes any more, though the engine goes on and
-        new connections work: something on the way lost track of the open ones. The host asks
-        over a fresh connection and takes up the stream where the master's copy ends.
+        Halfway through a stream no byte arrives any more, although the engine continues and new
+        connections work: a device on the path lost the state of open connections. The host probes
+        over a new connection and resumes the stream where the caller's copy ends.
         """
         task = await self.start_stream()
         self.busy_engine().freeze()
@@ -57,8 +57,8 @@
 
     async def test_a_whole_answer_behind_a_frozen_connection_is_fetched_not_run_again(self):
         """
-        A notebook scene, which must not run twice. It is ready on the engine, but the connection
-        is dead. The host fetches it over a new one: the master gets the scene, and it ran once.
+        A request with an idempotency key is finished on the engine, but its connection is dead.
+        The host fetches the answer over a new connection, and the request runs once.
         """
         head = {"idempotency-key": "scene-0001"}
         task = asyncio.create_task(self.cluster.ask(max_tokens=30, headers=head))
@@ -71,8 +71,8 @@
 
     async def test_a_cut_stream_can_be_told_from_a_whole_one(self):
         """
-        The engine breaks off after some tokens and has forgotten the stream. The caller has part
-        of a recap; it must not take it for the whole one.
+        The engine closes the stream after some tokens and no longer knows it. The caller must be
+        able to tell the partial answer from a complete one.
         """
         for engine in self.cluster.engines:
             engine.faults["cut"] = 20
@@ -84,8 +84,8 @@
 
     async def test_another_callers_answer_is_never_passed_on(self):
         """
-        Answers cross within an engine: it sends the frames of somebody else's request. The host
-        sees whose they are and asks the other endpoint; not one foreign token gets through.
+        An engine mixes up answers and sends the frames of another request. The host detects the
+        wrong request ID and retries at the other endpoint; no foreign token reaches the caller.
         """
         for fault in ("cross", "cross_frames"):
             self.cluster.engines[0].faults[fault] = True
@@ -105,8 +105,8 @@
 
     async def test_a_disconnected_caller_frees_the_engine(self):
         """
-        A caller closes its connection in the middle of a long answer. The engine must not go on
-        with it for nobody.
+        A caller closes its connection in the middle of a long answer. The engine must stop
+        generating it.
         """
         task = await self.start_stream()
         engine = self.busy_engine()
@@ -122,7 +122,7 @@
         await wait_for(lambda: not any(e.running for e in engines), "the engine free", 3)
 
     async def test_an_engine_backoff_is_respected(self):
-        """An engine turns requests away and asks for a rest, and is asked again and again."""
+        """An engine rejects requests with a retry delay, and the host keeps sending to it."""
         resting, other = self.cluster.engines
         resting.faults["refuse"], resting.rest = True, "30"
         for _ in range(20):
@@ -139,8 +139,8 @@
 
     async def test_retries_stay_within_their_budget(self):
         """
-        Every endpoint breaks off each request. Callers go on asking. Retries must not multiply
-        what the endpoints get: at most a tenth more, and a small burst.
+        Every endpoint fails each request while callers keep sending. Retries must not multiply the
+        load: the endpoints get at most a tenth more requests, plus a burst of 10.
         """
         for engine in self.cluster.engines:
             engine.faults["cut"] = 1
@@ -157,10 +157,10 @@
 
 
 class NotRunIsTrue(unittest.IsolatedAsyncioTestCase):
-    """Where a call to a service can fail, and what the caller may then be told.
+    """What the caller is told for each point at which a call to a service can fail.
 
-    A call that may not be repeated is sent at most once; "not run" is said only where the
-    service's own count is unchanged.
+    A call that may not be repeated is sent at most once; "not run" is reported only when the
+    service's own count of calls is unchanged.
     """
 
     async def asyncSetUp(self):
@@ -190,8 +190,8 @@
 
     async def test_a_put_on_a_dead_kept_connection_is_not_sent_twice(self):
         """
-        HTTP libraries send a PUT or DELETE again by themselves when a kept connection turns out
-        dead. The service had counted the first one; a policy would be bound twice.
+        HTTP libraries automatically repeat a PUT or DELETE when a kept-alive connection turns out
+        to be dead. The service has already counted the first call, so it would run twice.
         """
         await self.cluster.call("/warm", method="PUT")
         self.service.die_after_count = True
@@ -220,7 +220,7 @@
 
 
 class AtMostOnce(unittest.IsolatedAsyncioTestCase):
-    """A request with a key runs at most once, over hosts, deaths and outages."""
+    """A request with a key runs at most once, across hosts, crashes and outages."""
 
     async def asyncSetUp(self):
         self.cluster = Cluster(engines=1, hosts=2, services=1, models=1, adapters=0)
@@ -239,7 +239,7 @@
         return (await self.cluster.addresses(host))["key_prefix"]
 
     async def test_both_hosts_at_once(self):
-        """Two hosts get the same binding at the same moment, with a key of the caller's own."""
+        """Two hosts get the same call at the same moment, with a key without a prefix."""
         for round_ in range(5):
             key = f"own-key-{round_}"
             self.service.delay = 0.02
@@ -261,9 +261,9 @@
 
     async def test_bindings_go_on_while_the_platform_is_down(self):
         """
-        The platform is down for long. A broker who uses the prefix it was given goes on binding,
-        also through the other host, and still at most once. A key of its own needs the platform
-        and is refused at once, truly not run, with a time to come back.
+        During a long outage of the platform, keys with the prefix of a host still work on every
+        host, and still run at most once. A key without a prefix needs the platform: its call is
+        refused at once, is not run, and gets a retry delay.
         """
         prefix = await self.prefix()
         self.cluster.platform.faults["down"] = True
@@ -278,8 +278,8 @@
 
     async def test_the_owner_dies_after_the_send(self):
         """
-        The host that ran a binding dies before its answer gets out. The caller retries at another
-        host, which cannot know; it says "maybe" and does not run it again.
+        The host that ran a call crashes before it answers. The caller retries at another host,
+        which cannot know the outcome; it reports "maybe" and does not run the call again.
         """
         key = await self.prefix(0) + "abcdefgh"
         self.service.delay = 0.5
@@ -304,7 +304,7 @@
         self.assertEqual(len(self.service.calls), 1)
 
     async def test_a_key_that_was_not_run_may_be_tried_again(self):
-        """The service is not reachable: not run. When it is back, the same key runs, once."""
+        """A service is unreachable, so the call is not run. Once it is back, the key runs once."""
         key = await self.prefix() + "abcdefgh"
         port = int(self.service.served.address.split(":")[1])
         await self.service.served.stop()
@@ -321,8 +321,8 @@
 
     async def test_a_caller_cannot_pass_its_limit_as_if_forwarded(self):
         """
-        Requests that another host forwarded were counted there. A caller that sets the header
-        itself must not get past its limit by it.
+        A request that another host forwarded has been counted there. A caller that sets the
+        header itself must not evade its limit.
         """
         document = self.cluster.manifest()
         document["callers"][0]["requests_per_second"] = 2
@@ -333,10 +333,10 @@
 
 
 class PoisonTest(unittest.IsolatedAsyncioTestCase):
-    """Engine after engine ends, and with it the answers of all callers.
+    """One prompt crashes each engine that starts it, and with it the answers of all callers.
 
-    One prompt ends each engine that begins it. Its caller asks again and again, at any host, each
-    time under another request id, and no host remembers what the request did before.
+    Its caller retries at any host, each time under another request ID. The failure comes about when
+    no host records that earlier attempts ended engines.
     """
 
     async def test_a_prompt_that_ends_engines_is_not_sent_on(self):
@@ -351,7 +351,7 @@
                 await cluster.ask(host=number % 2, messages=messages)
                 await asyncio.sleep(0.5)
             ends = [engine.ends for engine in cluster.engines]
-            # Three ends, and two sends for each of three attempts until the third is known.
+            # Three ends, and two sends for each of three attempts until the third end is known.
             self.assertLessEqual(sum(ends), 3 + 3, ends)
             status, headers, answer = await cluster.ask(messages=messages)
             self.assertEqual((503, "blocked"), (status, answer["error"]["code"]))
@@ -360,7 +360,7 @@
             self.assertEqual(200, status)
 
     async def test_the_last_host_to_drain_refuses_blocked_requests(self):
-        """A caller gets 500: the last host leaves, and looks for the host that tries among none."""
+        """A caller gets 500: the last host drains, and no live host is left to run trials."""
         async with Cluster(engines=1, hosts=1, services=0, models=1, adapters=0) as cluster:
             host = cluster.hosts[0].host
             host.membership.become("leaving")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, operators, hosts and stand-ins."""
+"""End-to-end tests of callers and operators against hosts and stand-ins."""
 
 import asyncio
 import unittest
@@ -54,8 +54,8 @@
 
     async def test_another_address_serves_when_hosts_are_killed_one_by_one(self):
         """
-        A caller's host dies. The caller goes to the next address of its last answer and is
-        served there, until one host is left.
+        Hosts stop one after another. A caller uses the next address of its last address list and
+        is served there, until one host is left.
         """
         async with Cluster(hosts=3) as cluster:
             await cluster.publish()
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,4 +1,4 @@
-"""``peridotdock reasons``: why callers were not served in time, from hosts' logs."""
+"""Tests of ``peridotdock reasons``, which summarizes failed and late requests from logs."""
 
 import json
 import tempfile
