--- a/peridotdock/demand.py
+++ b/peridotdock/demand.py
@@ -16,20 +16,20 @@
 
 @dataclass
 class Rate:
-    """The averages of one item as of ``at`` (monotonic seconds)."""
+    """The averages of one item as of ``updated_at`` (monotonic seconds)."""
 
     fast: float = 0.0
     slow: float = 0.0
     peak: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def decay(self, now: float, peak_seconds: float = PEAK_SECONDS) -> None:
         """Decay the averages to ``now``."""
-        elapsed = max(0.0, now - self.at)
+        elapsed = max(0.0, now - self.updated_at)
         self.fast *= math.exp(-elapsed / FAST_SECONDS)
         self.slow *= math.exp(-elapsed / SLOW_SECONDS)
         self.peak = max(self.fast, self.peak * math.exp(-elapsed / peak_seconds))
-        self.at = now
+        self.updated_at = now
 
     def add(self, work: float) -> None:
         """Add ``work`` engine seconds."""
@@ -47,7 +47,7 @@
 
     def add(self, item: str, work: float, now: float) -> None:
         """Count a request for ``item`` that takes an estimated ``work`` engine seconds."""
-        rate = self._rates.setdefault(item, Rate(at=now))
+        rate = self._rates.setdefault(item, Rate(updated_at=now))
         rate.decay(now, self._peak_seconds)
         rate.add(work)
 
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -122,17 +122,17 @@
         caller = self._authenticate(request)
         if failed(caller):
             return self._refuse(caller)
-        head = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in request.headers}
-        headers = read_headers(head)
+        raw_headers = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in request.headers}
+        headers = read_headers(raw_headers)
         if failed(headers):
             return self._refuse(headers)
-        refusal = self._admit_caller(caller, self._was_forwarded(head))
+        refusal = self._admit_caller(caller, self._was_forwarded(raw_headers))
         if refusal is not None:
             return self._refuse(refusal)
         body_returned = False
         self._begin_request(caller)
         try:
-            outcome = await self._handle(request, path, caller, head, headers)
+            outcome = await self._handle(request, path, caller, raw_headers, headers)
             if failed(outcome):
                 return self._refuse(outcome, keyed=bool(headers.key))
             self._ctx.metrics.requests.labels("answered").inc()
@@ -144,14 +144,14 @@
             if not body_returned:
                 self._end_request(caller)
 
-    def _was_forwarded(self, head: dict[str, str]) -> bool:
+    def _was_forwarded(self, raw_headers: dict[str, str]) -> bool:
         """Return whether another host forwarded this request, and so counted it.
 
         Failure guarded against: a caller sets the header itself to evade its limit. The header
         holds an HMAC under the cluster key, which only hosts can compute.
         """
-        proof = self._sign_forward(self._ctx.incarnation, head.get("authorization", ""))
-        return hmac.compare_digest(head.get(FORWARDED_HEADER, "").encode(), proof.encode())
+        proof = self._sign_forward(self._ctx.incarnation, raw_headers.get("authorization", ""))
+        return hmac.compare_digest(raw_headers.get(FORWARDED_HEADER, "").encode(), proof.encode())
 
     def _sign_forward(self, owner: str, authorization: str) -> str:
         text = f"{owner}|{authorization}".encode()
@@ -206,26 +206,26 @@
         request: Request,
         path: str,
         caller: Caller,
-        head: dict[str, str],
+        raw_headers: dict[str, str],
         headers: Headers,
     ) -> Reply | Failure:
         body = await read_body(request, self._ctx.cfg.max_body_bytes)
         if failed(body):
             return body
-        req = self._parse(request, path, caller, head, headers, body)
+        req = self._parse(request, path, caller, raw_headers, headers, body)
         if failed(req):
             return req
         caller_end = HttpCallerConnection(request)
         if not headers.key:
             return await self._dispatch(req, caller_end)
-        return await self._run_keyed(request, req, caller_end, headers.key, head, body)
+        return await self._run_keyed(request, req, caller_end, headers.key, raw_headers, body)
 
     def _parse(
         self,
         request: Request,
         path: str,
         caller: Caller,
-        head: dict[str, str],
+        raw_headers: dict[str, str],
         headers: Headers,
         body: bytes,
     ) -> ModelRequest | ServiceRequest | Failure:
@@ -239,7 +239,15 @@
             return Failure(Kind.NOT_FOUND, f"no service {name[:64]!r}")
         query = (request.url.query or b"").decode("latin-1")
         return make_service_request(
-            service, request.method, slash + rest or "/", query, head, body, caller, headers, now
+            service,
+            request.method,
+            slash + rest or "/",
+            query,
+            raw_headers,
+            body,
+            caller,
+            headers,
+            now,
         )
 
     async def _dispatch(
@@ -255,7 +263,7 @@
         req: ModelRequest | ServiceRequest,
         caller: HttpCallerConnection,
         key: str,
-        head: dict[str, str],
+        raw_headers: dict[str, str],
         body: bytes,
     ) -> Reply | Failure:
         """Run a request with an idempotency key on the key's owner, which may be another host."""
@@ -267,7 +275,7 @@
         if failed(owner):
             return owner
         if owner.incarnation != self._ctx.incarnation:
-            return await self._forward(request, owner.incarnation, head, body)
+            return await self._forward(request, owner.incarnation, raw_headers, body)
         digest = fingerprint(request.method, request.url.path.decode(), body)
         record = keys.begin(req.caller_id, key, owner, digest)
         if not isinstance(record, Record):
@@ -313,7 +321,7 @@
             self._host.keys.end(record, replace(reply, body=kept) if whole else cut)
 
     async def _forward(
-        self, request: Request, incarnation: str, head: dict[str, str], body: bytes
+        self, request: Request, incarnation: str, raw_headers: dict[str, str], body: bytes
     ) -> Reply | Failure:
         """Forward a request to the incarnation that owns its key.
 
@@ -321,10 +329,10 @@
         owner's host has restarted under a new incarnation.
         """
         member = self._host.membership.find(incarnation)
-        if member is None or not member.alive or FORWARDED_HEADER in head:
+        if member is None or not member.alive or FORWARDED_HEADER in raw_headers:
             return Failure(Kind.KEY_OWNER_GONE)
-        headers = {k: v for k, v in head.items() if k not in HOP_HEADERS}
-        authorization = head.get("authorization", "")
+        headers = {k: v for k, v in raw_headers.items() if k not in HOP_HEADERS}
+        authorization = raw_headers.get("authorization", "")
         proof = self._sign_forward(incarnation, authorization)
         headers |= {"authorization": authorization, FORWARDED_HEADER: proof}
         path = request.url.value.decode("latin-1")
