--- a/peridotdock/context.py
+++ b/peridotdock/context.py
@@ -1,4 +1,4 @@
-"""The one object that carries what every part of a process needs."""
+"""The context shared by all components of a process."""
 
 import random
 import sys
@@ -22,13 +22,16 @@
 
     @property
     def out_is_terminal(self) -> bool:
-        """Tell whether a person reads the output."""
+        """Return whether standard output is a terminal."""
         return self.out.isatty()
 
 
 @dataclass(frozen=True)
 class Context:
-    """Settings, clock, random source, time line and metrics of one daemon."""
+    """Settings, clock, random source, timeline and metrics of one daemon.
+
+    ``incarnation`` identifies this start of the host; ``epoch`` is its time in Unix milliseconds.
+    """
 
     cfg: Settings
     clock: Clock
@@ -37,17 +40,17 @@
     metrics: Metrics
     incarnation: str
     epoch: int
-    off: frozenset[str]
+    disabled_decisions: frozenset[str]
 
-    def allows(self, decision: str) -> bool:
-        """Tell whether ``decision`` is switched on."""
-        return decision not in self.off
+    def decision_enabled(self, decision: str) -> bool:
+        """Return whether the policy leaves ``decision`` enabled."""
+        return decision not in self.disabled_decisions
 
 
 def build_context(
     cfg: Settings, clock: Clock | None = None, rng: random.Random | None = None
 ) -> Context:
-    """Build the context of a daemon; the incarnation is new for each start."""
+    """Build the context of a daemon, with a new incarnation."""
     clock = clock or SystemClock()
     rng = rng or random.Random()
     return Context(
@@ -58,13 +61,13 @@
         metrics=Metrics(),
         incarnation=f"{cfg.host_id}-{rng.getrandbits(64):016x}",
         epoch=int(clock.now().timestamp() * 1000),
-        off=parse_policy(cfg.policy),
+        disabled_decisions=parse_policy(cfg.policy),
     )
 
 
 @dataclass(frozen=True)
 class Environment:
-    """What the operators' command takes from outside: streams and variables."""
+    """The standard streams and environment variables of the operators' command."""
 
     streams: Streams
     environ: Mapping[str, str]
--- a/peridotdock/jobs.py
+++ b/peridotdock/jobs.py
@@ -1,4 +1,4 @@
-"""Work that a daemon repeats for as long as it runs."""
+"""Periodic background jobs of a daemon."""
 
 import asyncio
 import logging
@@ -6,14 +6,14 @@
 
 from peridotdock.context import Context
 
-JITTER = 0.2
-LEAST_SECONDS = 0.1
+JITTER_SHARE = 0.2
+MIN_INTERVAL_SECONDS = 0.1
 
 log = logging.getLogger("peridotdock")
 
 
 class Jobs:
-    """The repeated work of one process."""
+    """The periodic jobs of one process."""
 
     def __init__(self, ctx: Context):
         self._ctx = ctx
@@ -26,10 +26,10 @@
         name: str,
         wake: asyncio.Event | None = None,
     ) -> None:
-        """Do ``work`` again and again, ``seconds`` apart with some jitter, sooner after ``wake``.
+        """Run ``work`` every ``seconds()`` with jitter, or earlier when ``wake`` is set.
 
-        The jitter keeps hosts that started together, or that waited out an outage together, from
-        asking the platform in step.
+        The jitter keeps hosts that started together, or resumed together after an outage, from
+        calling the platform at the same times.
         """
         self._tasks.append(asyncio.create_task(self._repeat(seconds, work, name, wake)))
 
@@ -45,16 +45,16 @@
                 await work()
             except Exception:
                 log.exception("job failed", extra={"job": name})
-            spread = 1 + JITTER * (self._ctx.rng.random() - 0.5)
-            await self._pause(seconds() * spread, wake)
+            jitter = 1 + JITTER_SHARE * (self._ctx.rng.random() - 0.5)
+            await self._pause(seconds() * jitter, wake)
 
     async def _pause(self, seconds: float, wake: asyncio.Event | None) -> None:
         if wake is None:
             await self._ctx.clock.sleep(seconds)
             return
-        least = min(seconds, LEAST_SECONDS)
-        await self._ctx.clock.sleep(least)
-        sleep = asyncio.ensure_future(self._ctx.clock.sleep(seconds - least))
+        minimum = min(seconds, MIN_INTERVAL_SECONDS)
+        await self._ctx.clock.sleep(minimum)
+        sleep = asyncio.ensure_future(self._ctx.clock.sleep(seconds - minimum))
         woken = asyncio.ensure_future(wake.wait())
         try:
             await asyncio.wait({sleep, woken}, return_when=asyncio.FIRST_COMPLETED)
@@ -64,7 +64,7 @@
         wake.clear()
 
     async def stop(self) -> None:
-        """End all work."""
+        """Cancel all jobs and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/peridotdock/metrics.py
+++ b/peridotdock/metrics.py
@@ -1,15 +1,15 @@
-"""Metrics, with label sets bounded by the manifest and by closed lists."""
+"""Prometheus metrics with bounded sets of label values."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 FIRST_TOKEN_BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.35, 0.49, 0.75, 1.0, 2.0, 5.0, 10.0)
 PAUSE_BUCKETS = (0.02, 0.04, 0.076, 0.1, 0.15, 0.2, 0.4, 0.75, 1.5)
 MAX_ITEM_LABELS = 1000
-OTHER = "other"
+OTHER_LABEL = "other"
 
 
 class Metrics:
-    """All metrics of one process, in a registry of its own."""
+    """All metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -69,14 +69,14 @@
         return Counter(f"peridotdock_{name}", text, labels, registry=self.registry)
 
     def item_label(self, item: str) -> str:
-        """Return ``item``, or one shared label once there are too many different ones."""
+        """Return ``item``, or ``OTHER_LABEL`` once ``MAX_ITEM_LABELS`` items have labels."""
         if item in self._items:
             return item
         if len(self._items) >= MAX_ITEM_LABELS:
-            return OTHER
+            return OTHER_LABEL
         self._items.add(item)
         return item
 
     def render(self) -> bytes:
-        """Return the text that a scraper reads."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -15,8 +15,8 @@
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.waits import EndpointWaits
-from peridotdock.requests import Loss, State, lose
-from peridotdock.turns import find_turns
+from peridotdock.requests import Loss, RequestState, loss_failure
+from peridotdock.loop_iterations import find_iterations
 
 # Seconds until a caller may come back when no endpoint has what it asks for.
 NO_ENDPOINT_RETRY_SECONDS = 0.5
@@ -38,7 +38,7 @@
         self._waits = waits
         self._grants = grants
         self._permits = permits
-        self._turns = find_turns()
+        self._turns = find_iterations()
 
     async def choose_endpoint(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
@@ -56,7 +56,7 @@
         if failed(found):
             return found
         remaining = req.deadline - self._ctx.clock.monotonic()
-        reason = judge_send(remaining, found.seconds, self._turns.usual())
+        reason = judge_send(remaining, found.seconds, self._turns.median_length())
         if reason is not None:
             return Failure(Kind.HOST_BEHIND, reason, retry_after(self._ctx.rng.random))
         return found
@@ -120,7 +120,7 @@
             )
             if permit.given:
                 return found
-        return lose(State.ADMITTED, Loss.CALLER_GONE)
+        return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
 
     def _choose_among(
         self, candidates: Sequence[Candidate], req: RelayRequest, progress: Progress
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -27,10 +27,10 @@
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState, name_wish
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import Grant as GrantFrame
 from peridotdock.schema.messages import GrantDropped, GrantWanted
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 # Seconds that the hub's first word may take, and turns of this host's loop beside: two trips
 # between failure domains and the hub's own turn.
@@ -161,7 +161,7 @@
             self._queued.setdefault(model, MovingAverage(QUEUED_AVERAGE_SECONDS))
         found = {}
         for model, average in list(self._queued.items()):
-            value = average.look(tokens.get(model, 0), now)
+            value = average.update(tokens.get(model, 0), now)
             if value >= QUEUED_STEP_TOKENS:
                 found[model] = int(value // QUEUED_STEP_TOKENS * QUEUED_STEP_TOKENS)
             elif model not in tokens:
@@ -250,7 +250,7 @@
         find_hub: Callable[[], str],
         send: Callable[[str, object], bool],
         fleet: RelayFleet,
-        turns: Turns,
+        turns: LoopIterations,
         find_domain: Callable[[str], str],
     ):
         self._ctx = ctx
@@ -304,7 +304,7 @@
         if reply is None or caller.is_disconnected():
             self._deliver(hub, GrantDropped("grant_dropped", call.number))
         if caller.is_disconnected():
-            return lose(State.ADMITTED, Loss.CALLER_GONE)
+            return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         if reply is None:
             return None
         return (
@@ -325,7 +325,7 @@
     ) -> GrantFrame | None:
         """Return the hub's decision; None when it is silent, or gone while the prompt is queued."""
         reply = await call.next_reply(
-            caller, GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._turns.usual()
+            caller, GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._turns.median_length()
         )
         if reply is None:
             if not caller.is_disconnected():
--- a/peridotdock/relay/hub_calls.py
+++ b/peridotdock/relay/hub_calls.py
@@ -5,7 +5,7 @@
 from typing import Generic, TypeVar
 
 from peridotdock.relay.caller import CallerConnection
-from peridotdock.turns import Turns
+from peridotdock.loop_iterations import LoopIterations
 
 T = TypeVar("T")
 # Seconds that the hub's word may take, and turns of this host's loop beside: two trips between
@@ -17,7 +17,7 @@
 class HubCalls(Generic[T]):
     """The questions of one kind that are open, by number."""
 
-    def __init__(self, turns: Turns):
+    def __init__(self, turns: LoopIterations):
         self._turns = turns
         self._last_number = 0
         self._pending: dict[int, asyncio.Future[T]] = {}
@@ -36,7 +36,7 @@
         try:
             if not send(number):
                 return None
-            seconds = REPLY_TIMEOUT_SECONDS + REPLY_TIMEOUT_ITERATIONS * self._turns.usual()
+            seconds = REPLY_TIMEOUT_SECONDS + REPLY_TIMEOUT_ITERATIONS * self._turns.median_length()
             waits = {reply} if caller is None else {reply, caller.disconnected}
             first = asyncio.FIRST_COMPLETED
             await asyncio.wait(waits, timeout=seconds, return_when=first)
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/node.py
@@ -36,7 +36,7 @@
 from peridotdock.relay.waits import EndpointWaits
 from peridotdock.relay.words import EndpointWords
 from peridotdock.serving import Server, make_application
-from peridotdock.turns import find_turns
+from peridotdock.loop_iterations import find_iterations
 
 # Seconds between a change of the configuration and the next call on it: changes that come in quick
 # succession are seen one by one.
@@ -103,11 +103,13 @@
             self.peers.hub,
             mesh.send_to,
             self.fleet,
-            find_turns(),
+            find_iterations(),
             self.peers.membership.find_domain,
         )
         mesh.on_grant = self.grants.on_frame
-        self.permits = EndpointPermits(ctx, settings.host, self.peers, self.fleet, find_turns())
+        self.permits = EndpointPermits(
+            ctx, settings.host, self.peers, self.fleet, find_iterations()
+        )
         self.words = EndpointWords(ctx, settings.host, self.peers, self.fleet)
         mesh.on_permit = self.permits.on_frame
         self.grants.server.permit_waits = self.permits.wait_and_gap
@@ -130,9 +132,9 @@
         self.service.sender.on_answer = self.words.note_answer
         self.service.on_gap = self.grants.server.note_gap
         self.service.on_unreachable = lambda key: self.peers.tell_wants()
-        self.lag = HostMonitor(ctx, find_turns(), lambda: self.front.in_progress)
+        self.lag = HostMonitor(ctx, find_iterations(), lambda: self.front.in_progress)
         self.lag.on_change = self._tell_state
-        self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_turns())
+        self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_iterations())
         mesh.on_quota = self.quotas.on_frame
         identifier = Identifier(settings.bounds, self._config_age)
         self.front = RequestHandler(
--- a/peridotdock/relay/requests.py
+++ b/peridotdock/relay/requests.py
@@ -86,7 +86,7 @@
     @property
     def first_event_deadline(self) -> float:
         """Return when the first sign of an answer must be there, or the caller leaves."""
-        return min(self.deadline, self.received_at + self.route.patience)
+        return min(self.deadline, self.received_at + self.route.stall_timeout)
 
     @property
     def id(self) -> str:
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -14,7 +14,7 @@
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
-from peridotdock.requests import Loss, State, lose
+from peridotdock.requests import Loss, RequestState, loss_failure
 
 # Seconds between two looks while all endpoints rest: another may have come meanwhile.
 CHECK_SECONDS = 0.25
@@ -51,7 +51,7 @@
         remaining = req.first_event_deadline - self._ctx.clock.monotonic()
         seconds = backoff_seconds(progress.refusals, remaining, self._ctx.rng.random)
         await asyncio.wait({caller.disconnected}, timeout=seconds)
-        return lose(State.ADMITTED, Loss.CALLER_GONE) if caller.is_disconnected() else None
+        return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE) if caller.is_disconnected() else None
 
     async def wait_until_accepting(
         self,
@@ -83,5 +83,5 @@
         longest = CHECK_SECONDS if row.rest else permit.wait
         await asyncio.wait({caller.disconnected}, timeout=min(permit.wait, longest))
         if caller.is_disconnected():
-            return lose(State.ADMITTED, Loss.CALLER_GONE)
+            return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
         return None if row.rest else Prediction(row, seconds)
--- a/peridotdock/asks.py
+++ b/peridotdock/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests: bodies, headers and limits, each checked before anything is done."""
+"""Parsing and validation of callers' requests, before any of their work begins."""
 
 import math
 import re
@@ -14,7 +14,7 @@
 from peridotdock.items import Item
 from peridotdock.manifest import Accepted
 from peridotdock.prefix import count_tokens, hash_blocks
-from peridotdock.requests import Ask, ServiceAsk, Wish
+from peridotdock.requests import ModelRequest, ServiceRequest, RoutingProfile
 from peridotdock.schema.manifest import Caller, Service
 
 MODEL_DEADLINE_SECONDS = 120.0
@@ -26,12 +26,12 @@
 KEY_HEADER = "idempotency-key"
 TRACE_HEADER = "traceparent"
 TRACE_PATTERN = re.compile(r"00-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
-FORMS = {"/v1/chat/completions": "chat", "/v1/completions": "text"}
+FORM_BY_PATH = {"/v1/chat/completions": "chat", "/v1/completions": "text"}
 
 
 @dataclass(frozen=True)
 class Part:
-    """A part of a chat message."""
+    """A content part of a chat message; parts other than text have no text."""
 
     text: str = ""
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ModelBody:
-    """The fields of a request that routing reads; all others are passed on untouched."""
+    """The fields of a request that routing reads; the body is forwarded unchanged."""
 
     model: str
     messages: list[Message] = field(default_factory=list)
@@ -54,12 +54,12 @@
     stream: bool | None = False
 
 
-BODY = msgspec.json.Decoder(ModelBody)
+BODY_DECODER = msgspec.json.Decoder(ModelBody)
 
 
 @dataclass(frozen=True)
 class Headers:
-    """The headers of a caller's request that peridotdock reads."""
+    """The parsed headers of a caller's request; ``key`` is empty without an idempotency key."""
 
     key: str
     deadline_seconds: float | None
@@ -68,7 +68,7 @@
 
 
 def read_headers(raw: Mapping[str, str]) -> Headers | Failure:
-    """Read and check the headers; names in lower case."""
+    """Parse and check the headers, whose names are in lower case."""
     deadline = read_number(raw.get(DEADLINE_HEADER), 1, MAX_DEADLINE_SECONDS * 1000)
     priority = read_number(raw.get(PRIORITY_HEADER), 0, 9)
     for name, value in ((DEADLINE_HEADER, deadline), (PRIORITY_HEADER, priority)):
@@ -86,37 +86,37 @@
     )
 
 
-def read_number(text: str | None, least: float, most: float) -> float | None | Failure:
-    """Read a number within bounds; None when there is none."""
+def read_number(text: str | None, minimum: float, maximum: float) -> float | None | Failure:
+    """Parse a number between two inclusive bounds; None when ``text`` is None."""
     if text is None:
         return None
     try:
         value = float(text)
     except ValueError:
         value = math.nan
-    if not least <= value <= most:
-        return Failure(Kind.BAD_REQUEST, f"expected a number from {least:g} to {most:g}")
+    if not minimum <= value <= maximum:
+        return Failure(Kind.BAD_REQUEST, f"expected a number from {minimum:g} to {maximum:g}")
     return value
 
 
 def make_trace() -> str:
-    """Return a new W3C traceparent."""
+    """Return a new W3C ``traceparent`` header value."""
     return f"00-{uuid.uuid4().hex}-{uuid.uuid4().hex[:16]}-01"
 
 
 def find_caller(accepted: Accepted, authorization: str) -> Caller | Failure:
-    """Return the caller whose token this is."""
+    """Return the caller whose bearer token an ``authorization`` header holds."""
     return accepted.callers.get(read_bearer(authorization)) or Failure(Kind.UNKNOWN_CALLER)
 
 
 def choose_priority(caller: Caller, headers: Headers) -> int:
-    """Return the class of a request: what was asked for, at most what the caller may have."""
-    wanted = DEFAULT_PRIORITY if headers.priority is None else headers.priority
-    return min(wanted, caller.priority)
+    """Return the priority of a request: the requested one, capped by the caller's own."""
+    requested = DEFAULT_PRIORITY if headers.priority is None else headers.priority
+    return min(requested, caller.priority)
 
 
 def read_text(body: ModelBody) -> str:
-    """Return the prompt as one text, in the order in which an engine reads it."""
+    """Return the prompt as one text, in the order in which an engine processes it."""
     if isinstance(body.prompt, list):
         return "\n".join(body.prompt)
     if body.prompt:
@@ -125,13 +125,13 @@
 
 
 def flatten(content: str | list[Part] | None) -> str:
-    """Return the text of a message's content."""
+    """Return the text of a message's content, with its parts joined."""
     if isinstance(content, list):
         return "".join(part.text for part in content)
     return content or ""
 
 
-def read_ask(
+def parse_model_request(
     path: str,
     raw: bytes,
     caller: Caller,
@@ -139,10 +139,13 @@
     accepted: Accepted,
     domain: str,
     now: float,
-) -> Ask | Failure:
-    """Build the request for a model or adapter, or say what is wrong with it."""
+) -> ModelRequest | Failure:
+    """Build the request for a model or adapter; a failure when the body is invalid.
+
+    ``now`` is monotonic seconds; the deadline is counted from it.
+    """
     try:
-        body = BODY.decode(raw)
+        body = BODY_DECODER.decode(raw)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         return Failure(Kind.BAD_REQUEST, str(exc))
     if not body.messages and not body.prompt:
@@ -151,34 +154,34 @@
     if item is None:
         return Failure(Kind.UNKNOWN_MODEL, body.model[:128])
     text = read_text(body)
-    return Ask(
+    return ModelRequest(
         request_id=uuid.uuid4().hex,
         caller_id=caller.id,
         path=path,
-        form=FORMS[path],
+        form=FORM_BY_PATH[path],
         stream=bool(body.stream),
         body=raw,
-        wish=make_wish(item, text, choose_priority(caller, headers), domain),
+        profile=make_routing_profile(item, text, choose_priority(caller, headers), domain),
         repeatable=not headers.key,
         deadline=now + (headers.deadline_seconds or MODEL_DEADLINE_SECONDS),
         traceparent=headers.traceparent,
     )
 
 
-def make_wish(item: Item, text: str, priority: int, domain: str) -> Wish:
-    """Return what routing needs to know."""
-    return Wish(
+def make_routing_profile(item: Item, text: str, priority: int, domain: str) -> RoutingProfile:
+    """Return the routing profile of a prompt for an item."""
+    return RoutingProfile(
         item=item.key,
         tokens=count_tokens(text),
         blocks=hash_blocks(item.key, text),
         priority=priority,
-        first_token=item.target.first_token_ms / 1000,
+        first_token_seconds=item.target.first_token_ms / 1000,
         domain=domain,
     )
 
 
 def is_repeatable(service: Service, method: str, path: str) -> bool:
-    """Tell whether the manifest allows a call to be sent more than once."""
+    """Return whether the manifest allows a call to be sent more than once."""
     for rule in service.repeatable:
         if rule.method not in ("*", method):
             continue
@@ -187,26 +190,26 @@
     return False
 
 
-def make_service_ask(
+def make_service_request(
     service: Service,
     method: str,
     path: str,
     query: str,
-    head: dict[str, str],
+    raw_headers: dict[str, str],
     body: bytes,
     caller: Caller,
     headers: Headers,
     now: float,
-) -> ServiceAsk:
-    """Build a call to a plain service; the path is the part behind its prefix."""
+) -> ServiceRequest:
+    """Build a call to a plain service; ``path`` is the part after the service's prefix."""
     deadline = headers.deadline_seconds or service.target_ms / 1000 * SERVICE_DEADLINE_FACTOR
-    return ServiceAsk(
+    return ServiceRequest(
         request_id=uuid.uuid4().hex,
         caller_id=caller.id,
         service=service.id,
         method=method,
         path=path + (f"?{query}" if query else ""),
-        headers={**head, TRACE_HEADER: headers.traceparent},
+        headers={**raw_headers, TRACE_HEADER: headers.traceparent},
         body=body,
         repeatable=is_repeatable(service, method, path) and not headers.key,
         deadline=now + deadline,
@@ -214,7 +217,7 @@
 
 
 def list_models(accepted: Accepted) -> dict[str, Any]:
-    """Return the answer to ``/v1/models``."""
+    """Return the response body of ``/v1/models``."""
     rows = [
         {"id": name, "object": "model", "created": 0, "owned_by": accepted.manifest.deployment.name}
         for name in accepted.items
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -1,8 +1,8 @@
-"""Passing a streamed answer on: frames checked for whose they are, each given out once, resumed.
+"""Relaying of streamed answers: each frame is verified, passed on once, and resumed after a break.
 
-A stream that breaks off or goes silent is looked for over a fresh connection. If the engine still
-has it, it goes on where the caller's copy ends. If not, the caller gets an error frame and no
-closing ``[DONE]``, by which a cut answer can be told from a whole one.
+After a stream breaks or goes silent, the engine is probed over a new connection. If it still has
+the stream, the stream resumes where the caller's copy ends. If not, the caller gets an error frame
+and no closing ``[DONE]``, which distinguishes an incomplete answer from a complete one.
 """
 
 import asyncio
@@ -16,26 +16,26 @@
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.fleet import EndpointState
-from peridotdock.requests import Ask, Caller, Loss, State, lose
+from peridotdock.requests import ModelRequest, CallerConnection, Loss, RequestState, loss_failure
 
 SEPARATOR = b"\n\n"
 DATA = b"data: "
 DONE = b"[DONE]"
 MAX_FRAME_BYTES = 1024 * 1024
 MAX_RESUMES = 5
-SLICE_SECONDS = 0.25
+CHECK_INTERVAL_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
 class CachedTokens:
-    """How much of the prompt the engine had cached."""
+    """The number of prompt tokens that the engine had cached."""
 
     cached_tokens: int = 0
 
 
 @dataclass(frozen=True)
 class FrameUsage:
-    """What an engine says of a request at its end."""
+    """The token counts that an engine reports at the end of a request."""
 
     prompt_tokens: int = 0
     prompt_tokens_details: CachedTokens = field(default_factory=CachedTokens)
@@ -43,24 +43,25 @@
 
 @dataclass(frozen=True)
 class FrameHead:
-    """The part of a frame that is checked; the rest is passed on as it is."""
+    """The fields of a frame that are checked; the frame is passed on unchanged."""
 
     id: str = ""
     offset: int | None = None
     usage: FrameUsage | None = None
 
 
-HEAD = msgspec.json.Decoder(FrameHead)
+HEAD_DECODER = msgspec.json.Decoder(FrameHead)
 
 
 def read_head(data: bytes, request_id: str) -> FrameHead | Failure:
-    """Read a frame or a whole answer as far as it is checked.
+    """Parse and check the head of a frame or of a whole answer.
 
-    Failure guarded against: answers cross within an engine or on the way, and a caller gets part of
-    another's. The engine names the request in each frame; any other name ends the attempt.
+    Failure guarded against: answers are mixed up within an engine or on the network path, and a
+    caller gets part of another caller's answer. The engine sets the request ID in each frame; any
+    other ID ends the attempt.
     """
     try:
-        head = HEAD.decode(data)
+        head = HEAD_DECODER.decode(data)
     except msgspec.MsgspecError as exc:
         return Failure(Kind.ENDPOINT_ERROR, f"unreadable answer: {exc}")
     if head.id != request_id:
@@ -68,53 +69,53 @@
     return head
 
 
-class Silent(Exception):
-    """No byte came for the time allowed."""
+class StreamSilent(Exception):
+    """No byte arrived for ``silence_seconds``."""
 
 
-class Relay:
-    """One streamed answer on its way to a caller."""
+class StreamRelay:
+    """Relays one streamed answer from an endpoint to a caller."""
 
     def __init__(
         self,
         ctx: Context,
         endpoints: HttpEndpoints,
         state: EndpointState,
-        ask: Ask,
-        caller: Caller,
+        req: ModelRequest,
+        caller: CallerConnection,
     ):
         self._ctx = ctx
         self._endpoints = endpoints
         self._state = state
-        self._ask = ask
+        self._req = req
         self._caller = caller
         self._opened: Opened | None = None
         self._buffer = b""
-        self._next = 0
+        self._next_offset = 0
         self._resumes = 0
         self.usage: FrameUsage | None = None
         self.whole = False
 
     def attach(self, opened: Opened) -> None:
-        """Read from this answer."""
+        """Continue to read from ``opened``."""
         self._opened = opened
         self._buffer = b""
 
     async def release(self) -> None:
-        """Let go of the connection; unless the answer is whole, also stop the engine's work."""
+        """Release the connection; unless the answer is complete, also cancel it on the engine."""
         opened, self._opened = self._opened, None
         if opened is None:
             return
         await opened.release()
         if not self.whole:
-            self._endpoints.cancel(self._state.url, self._ask.request_id)
+            self._endpoints.cancel(self._state.url, self._req.request_id)
 
     async def frames(self) -> AsyncIterator[bytes | Failure]:
-        """Give each frame once; a failure is the last thing given."""
+        """Yield each frame once; a failure ends the iteration."""
         while True:
             found = await self._next_frame()
             if failed(found):
-                found = await self._mend(found)
+                found = await self._recover(found)
                 if failed(found):
                     yield found
                     return
@@ -129,28 +130,28 @@
                 return
 
     def _check(self, frame: bytes) -> bytes | Failure:
-        """Return the frame to pass on, nothing for one that was given before, or a failure."""
+        """Return the frame to pass on, empty bytes for a duplicate, or a failure."""
         data = frame[len(DATA) :] if frame.startswith(DATA) else b""
         if data == DONE:
             self.whole = True
             return frame + SEPARATOR
         if not data:
             return b""
-        head = read_head(data, self._ask.request_id)
+        head = read_head(data, self._req.request_id)
         if failed(head):
             return head
         if head.usage is not None:
             if self.usage is not None:
-                # The closing frame comes again when only the end of a stream was resumed.
+                # The engine repeats the closing frame when a stream is resumed at its end.
                 return b""
             self.usage = head.usage
         if head.offset is not None:
-            if head.offset < self._next:
+            if head.offset < self._next_offset:
                 self._ctx.metrics.late_frames.inc()
                 return b""
-            if head.offset > self._next:
-                return Failure(Kind.ANSWER_CUT, f"frame {self._next} is missing")
-            self._next += 1
+            if head.offset > self._next_offset:
+                return Failure(Kind.ANSWER_CUT, f"frame {self._next_offset} is missing")
+            self._next_offset += 1
         return frame + SEPARATOR
 
     async def _next_frame(self) -> bytes | Failure:
@@ -159,7 +160,7 @@
                 return Failure(Kind.ENDPOINT_ERROR, "a frame is too long")
             try:
                 part = await self._read()
-            except Silent:
+            except StreamSilent:
                 return Failure(Kind.ANSWER_CUT, Loss.SILENCE)
             except BROKEN as exc:
                 return Failure(Kind.ANSWER_CUT, type(exc).__name__)
@@ -172,37 +173,39 @@
         return frame
 
     async def _read(self) -> bytes | Failure:
-        """Read some bytes, looking out for deadline, silence and a caller that has gone."""
+        """Read some bytes, unless the deadline passes, the caller disconnects or none arrive."""
         clock = self._ctx.clock
-        silent_at = clock.monotonic() + self._ctx.cfg.silence_seconds
+        silence_deadline = clock.monotonic() + self._ctx.cfg.silence_seconds
         while True:
             now = clock.monotonic()
-            if self._caller.gone():
-                return lose(State.FIRST_BYTE, Loss.CALLER_GONE)
-            if now >= self._ask.deadline:
-                return lose(State.FIRST_BYTE, Loss.DEADLINE)
-            if now >= silent_at:
-                raise Silent
-            wait = min(SLICE_SECONDS, silent_at - now, self._ask.deadline - now)
+            if self._caller.disconnected():
+                return loss_failure(RequestState.FIRST_BYTE, Loss.CALLER_GONE)
+            if now >= self._req.deadline:
+                return loss_failure(RequestState.FIRST_BYTE, Loss.DEADLINE)
+            if now >= silence_deadline:
+                raise StreamSilent
+            wait = min(CHECK_INTERVAL_SECONDS, silence_deadline - now, self._req.deadline - now)
             try:
                 async with asyncio.timeout(wait):
                     return await self._opened.read_some()
             except TimeoutError:
                 continue
 
-    async def _mend(self, failure: Failure) -> Failure | None:
-        """Find out what became of a stream that broke off or went silent, and go on with it."""
+    async def _recover(self, failure: Failure) -> Failure | None:
+        """Probe a stream that broke or went silent, and resume it if the engine still has it."""
         if failure.kind is not Kind.ANSWER_CUT:
             return failure
         silent = failure.reason == Loss.SILENCE
-        found = await self._endpoints.probe(self._state.url, self._ask.request_id)
+        found = await self._endpoints.probe(self._state.url, self._req.request_id)
         if failed(found) or found is None:
-            return lose(State.FIRST_BYTE, Loss.SILENCE if silent else Loss.ENDPOINT_GONE)
-        if silent and found.tokens <= self._next and not found.done:
-            # The engine is slow, not lost: it has no more than the caller already got.
+            return loss_failure(
+                RequestState.FIRST_BYTE, Loss.SILENCE if silent else Loss.ENDPOINT_GONE
+            )
+        if silent and found.tokens <= self._next_offset and not found.done:
+            # The engine is slow, not lost: the caller already has all tokens generated so far.
             return None
         if self._resumes >= MAX_RESUMES:
-            return lose(State.FIRST_BYTE, Loss.ENDPOINT_GONE, "resumed too often")
+            return loss_failure(RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE, "resumed too often")
         self._resumes += 1
         return await self._resume(silent)
 
@@ -211,16 +214,16 @@
             self._endpoints.suspect(self._state.url)
         if self._opened is not None:
             await self._opened.release()
-        query = f"?offset={self._next}&form={self._ask.form}"
-        path = f"/v1/streams/{self._ask.request_id}{query}"
+        query = f"?offset={self._next_offset}&form={self._req.form}"
+        path = f"/v1/streams/{self._req.request_id}{query}"
         opened = await self._endpoints.open(self._state.url, Call("GET", path, {}, b"", False))
         if failed(opened) or opened.status != 200:
-            return lose(State.FIRST_BYTE, Loss.ENDPOINT_GONE, "not resumed")
+            return loss_failure(RequestState.FIRST_BYTE, Loss.ENDPOINT_GONE, "not resumed")
         self.attach(opened)
         self._ctx.timeline.add(
             "stream_resumed",
-            request=self._ask.request_id,
+            request=self._req.request_id,
             endpoint=self._state.name,
-            detail=f"at {self._next}",
+            detail=f"at {self._next_offset}",
         )
         return None
--- a/peridotdock/timeouts.py
+++ b/peridotdock/timeouts.py
@@ -1,48 +1,48 @@
-"""Timeouts that a loop which was held up does not turn against the other end."""
+"""Timeouts that do not fire early when the event loop has been blocked."""
 
 import asyncio
 from typing import Any, Self
 
 
-class TurnTimeout:
-    """Ends the work of the running task some turns of the loop after its time is over.
+class IterationTimeout:
+    """Cancels the work of the running task a number of loop iterations after its time is over.
 
-    After a turn that lasted long, timers are due before what came meanwhile has been handled: it
-    came in time all the same. ``turns`` is how many the work needs for that, one at least.
+    After a long iteration, timers fire before data that arrived in time has been handled.
+    ``iterations`` is the number of iterations that the work needs to handle it, at least one.
     """
 
-    def __init__(self, seconds: float, turns: int = 1):
+    def __init__(self, seconds: float, iterations: int = 1):
         self._seconds = max(0.0, seconds)
-        self._turns = turns
+        self._iterations = iterations
         self._limit = asyncio.timeout(None)
-        self._open = False
+        self._active = False
 
     async def __aenter__(self) -> Self:
-        """Begin to count."""
+        """Start the timer."""
         await self._limit.__aenter__()
-        self._open = True
+        self._active = True
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self._seconds, self._wait, self._turns)
+        self._timer = loop.call_later(self._seconds, self._count_down, self._iterations)
         return self
 
     async def __aexit__(self, *exc: Any) -> bool | None:
-        """Stop counting; raises TimeoutError when the work was ended."""
-        self._open = False
+        """Cancel the timer; raise TimeoutError when the work was cancelled."""
+        self._active = False
         self._timer.cancel()
         return await self._limit.__aexit__(*exc)
 
-    def _wait(self, turns: int) -> None:
-        if turns > 1:
-            asyncio.get_running_loop().call_soon(self._wait, turns - 1)
+    def _count_down(self, iterations: int) -> None:
+        if iterations > 1:
+            asyncio.get_running_loop().call_soon(self._count_down, iterations - 1)
         else:
-            self.end()
+            self.expire()
 
-    def end(self) -> None:
-        """End the work in the next turn."""
-        if self._open:
-            self._open = False
+    def expire(self) -> None:
+        """Cancel the work in the next iteration."""
+        if self._active:
+            self._active = False
             self._limit.reschedule(asyncio.get_running_loop().time())
 
     def expired(self) -> bool:
-        """Tell whether the work was ended."""
+        """Return whether the work was cancelled."""
         return self._limit.expired()
--- a/peridotdock/trials.py
+++ b/peridotdock/trials.py
@@ -1,8 +1,9 @@
-"""Blocked requests that are tried again: by one host of all, one at a time.
+"""Trials of blocked requests: a single host sends them again, one at a time.
 
-Failure guarded against: a request that many callers repeat was at the same ends as the one to
-blame. What is blocked is never answered, and only an answer speaks for it: it would stay blocked
-though it harms nothing. A trial costs one more end at most, and shows which of them is to blame.
+Failure guarded against: a harmless request that many callers repeat was running on the same
+endpoints as a harmful one when they ended, and both are blocked. Only an answer clears a request,
+and a blocked request is never answered, so the harmless one would stay blocked. A trial costs at
+most one more end of an endpoint and shows which request is the cause.
 """
 
 from collections.abc import Callable
@@ -10,31 +11,32 @@
 
 from peridotdock.context import Context
 
-# Seconds after which a trial that neither was answered nor ended an endpoint gives way to the next.
+# Seconds after which a trial without an outcome (an answer or the end of an endpoint) is replaced
+# by the next.
 TRIAL_SECONDS = 5.0
 
 
 class Trials:
-    """The request that this host tries now; ``may_try`` tells whether it is the host to try any."""
+    """The current trial of this host; ``may_try`` returns whether this host runs the trials."""
 
     def __init__(self, ctx: Context, may_try: Callable[[], bool]):
         self._ctx = ctx
         self._may_try = may_try
-        self._ask: Any = None
+        self._req: Any = None
         self._until = float("-inf")
 
-    def allows(self, ask: Any) -> bool:
-        """Tell whether a blocked request may be sent as a trial, or is on trial already."""
+    def allows(self, req: Any) -> bool:
+        """Return whether a blocked request is on trial, starting its trial if that is possible."""
         now = self._ctx.clock.monotonic()
-        if self._ask is ask:
+        if self._req is req:
             return True
         if now < self._until or not self._may_try():
             return False
-        self._ask, self._until = ask, now + TRIAL_SECONDS
-        self._ctx.timeline.add("request_tried", detail=f"content {ask.content_id}")
+        self._req, self._until = req, now + TRIAL_SECONDS
+        self._ctx.timeline.add("request_tried", detail=f"content {req.content_id}")
         return True
 
-    def end(self, ask: Any) -> None:
-        """Note that a request has shown what it does: the next one may be tried."""
-        if self._ask is ask:
-            self._ask, self._until = None, float("-inf")
+    def end(self, req: Any) -> None:
+        """End the trial of a request, so that the next one can start."""
+        if self._req is req:
+            self._req, self._until = None, float("-inf")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions alone: routing, admission, limits, keys, placement, membership of addresses."""
+"""Unit tests of routing, admission, caller limits, keys, retries, placement and addresses."""
 
 import itertools
 import random
@@ -17,11 +17,11 @@
 from peridotdock.growth import queue_cost, spread_load
 from peridotdock.keys import KEPT_PERIODS, PERIOD_SECONDS, KeyTable, Owner, Record, read_owner
 from peridotdock.ledger import State
-from peridotdock.limits import GRANT_SECONDS, CallerLimits
+from peridotdock.limits import LOAN_SECONDS, CallerLimits
 from peridotdock.membership import Member
 from peridotdock.placement import find_floor_errors, make_plan
 from peridotdock.prefix import BLOCK_CHARS, hash_blocks
-from peridotdock.requests import Reply, Wish
+from peridotdock.requests import Reply, RoutingProfile
 from peridotdock.retries import RetryBudget
 from peridotdock.routing import admit, choose, predict
 from peridotdock.schema.messages import HostFact
@@ -40,13 +40,13 @@
     return found
 
 
-def wish(tokens=800, blocks=(), priority=5, first_token=0.49):
-    return Wish("m0@1", tokens, blocks, priority, first_token, "north")
+def make_profile(tokens=800, blocks=(), priority=5, first_token=0.49):
+    return RoutingProfile("m0@1", tokens, blocks, priority, first_token, "north")
 
 
 class Routing(unittest.TestCase):
     def pick(self, *states, **more):
-        return choose(states, wish(**more), NOW, random.Random(1))
+        return choose(states, make_profile(**more), NOW, random.Random(1))
 
     @params(
         ("idle before busy", state("a"), state("b", running=8, waiting=6)),
@@ -56,28 +56,30 @@
         ("sound before ejected", state("a", running=8), state("b", bad_until=NOW + 1)),
         ("fresh before stale", state("a"), state("b", at=NOW - 60)),
     )
-    def test_which_one(self, _, better, worse):
+    def test_choice_by_load_and_health(self, _, better, worse):
         for order in ((better, worse), (worse, better)):
             self.assertEqual(self.pick(*order).state.name, "a")
 
     def test_own_sends_count_before_any_report_shows_them(self):
         """
-        A burst comes between two reports. A host that trusted the report alone would send all of
-        it to the endpoint that looked idle.
+        A burst arrives between two load reports. With the report alone, a host would send all of
+        it to the endpoint that was idle at the report.
         """
         states = [state("a"), state("b")]
         counts = {"a": 0, "b": 0}
         for number in range(20):
-            found = choose(states, wish(), NOW, random.Random(number))
+            found = choose(states, make_profile(), NOW, random.Random(number))
             found.state.began(f"r{number}", NOW, 800)
             counts[found.state.name] += 1
         self.assertLessEqual(abs(counts["a"] - counts["b"]), 2)
 
-    def test_work_done_since_the_report_is_taken_off(self):
+    def test_work_done_since_the_report_is_subtracted(self):
         busy = state("a", prefill=4000, at=NOW - 0.5)
-        self.assertLess(predict(busy, wish(), NOW, frozenset({"correction"})).predicted, 0.12)
+        self.assertLess(
+            predict(busy, make_profile(), NOW, frozenset({"correction"})).predicted_seconds, 0.12
+        )
 
-    def test_a_cached_prefix_draws_its_requests_and_trust_cuts_it(self):
+    def test_a_cached_prefix_attracts_requests_until_hints_fail(self):
         text = "x" * BLOCK_CHARS * 8
         blocks = hash_blocks("m0@1", text)
         warm, cold = state("a"), state("b")
@@ -87,8 +89,8 @@
             warm.learn_hits(1024, 0)
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
-    def test_hints_last_as_long_as_they_have_proved_to(self):
-        """Evictions that nobody told of: after a few misses an old hint counts no more."""
+    def test_cache_hints_expire_after_misses(self):
+        """An engine reports no evictions: after a few misses, old cache hints no longer count."""
         blocks = hash_blocks("m0@1", "x" * BLOCK_CHARS * 4)
         warm = state("a")
         warm.remember(blocks, NOW - 20)
@@ -97,8 +99,8 @@
             warm.learn_hits(500, 0)
         self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
 
-    def test_what_is_kept_of_an_endpoint_without_reports_is_bounded(self):
-        """A plain service sends no reports, so nothing ever says which sends are old news."""
+    def test_records_of_an_endpoint_without_reports_are_bounded(self):
+        """A plain service sends no load reports, so no report ever clears the recorded sends."""
         service = EndpointState("s", "", "north")
         for number in range(MOST_SENT * 2):
             service.began(f"r{number}", NOW, 3)
@@ -111,7 +113,7 @@
         found = self.pick(state("a", bad_until=NOW + 9))
         self.assertFalse(failed(found))
 
-    def test_none_left(self):
+    def test_no_endpoint_left(self):
         found = self.pick(state("a", down=True), state("b", leaving=True))
         self.assertEqual(found.kind, Kind.NO_ENDPOINT)
         self.assertGreater(found.retry_after, 0)
@@ -130,7 +132,7 @@
             state(f"e{n}", running=load, prefill=fill, down=down, leaving=leaving)
             for n, (down, leaving, load, fill) in enumerate(rows)
         ]
-        found = choose(states, wish(), NOW, random.Random(seed))
+        found = choose(states, make_profile(), NOW, random.Random(seed))
         if failed(found):
             self.assertTrue(all(s.down or s.leaving for s in states))
         else:
@@ -139,8 +141,10 @@
 
 class Admission(unittest.TestCase):
     def decide(self, predicted_prefill, priority=5, tokens=80):
-        found = predict(state("a", prefill=predicted_prefill), wish(tokens), NOW, frozenset())
-        return admit(found, wish(tokens, priority=priority))
+        found = predict(
+            state("a", prefill=predicted_prefill), make_profile(tokens), NOW, frozenset()
+        )
+        return admit(found, make_profile(tokens, priority=priority))
 
     @params((0, None), (1000, None), (8000, Kind.OVERLOADED))
     def test_by_predicted_wait(self, prefill, expected):
@@ -153,14 +157,14 @@
         self.assertIn(False, outcomes)
         self.assertIn(True, outcomes)
 
-    def test_when_to_come_back_grows_with_the_queue(self):
+    def test_the_retry_delay_grows_with_the_queue(self):
         waits = [self.decide(prefill).retry_after for prefill in (8000, 16000, 32000)]
         self.assertEqual(waits, sorted(waits))
         self.assertGreater(waits[2], waits[0] + 1)
 
     def test_a_long_prompt_is_not_refused_for_its_own_length(self):
-        found = predict(state("a"), wish(40_000), NOW, frozenset())
-        self.assertIsNone(admit(found, wish(40_000)))
+        found = predict(state("a"), make_profile(40_000), NOW, frozenset())
+        self.assertIsNone(admit(found, make_profile(40_000)))
 
 
 class Limits(unittest.TestCase):
@@ -173,7 +177,7 @@
                 st.sampled_from(["offer", "beat", "hear", "lend", "borrow", "wait"]),
                 st.integers(0, 2),
                 st.integers(0, 2),
-                st.floats(0.1, GRANT_SECONDS),
+                st.floats(0.1, LOAN_SECONDS),
             ),
             max_size=60,
         )
@@ -196,10 +200,10 @@
             world.borrow(0, lender, 0)
         self.assertGreater(world.limits[0].allowed("c", 30.0, world.now), 20.0)
 
-    def test_a_loan_that_is_heard_late_is_not_used(self):
+    def test_a_loan_that_arrives_late_is_not_used(self):
         """
-        A lends to b, and the word is held up on the way for longer than the loan lasts. A has its
-        share back by then. Were b to use the loan from when it heard of it, both would.
+        Host a lends to host b, and the message is delayed for longer than the loan lasts. By then
+        a uses its share again. If b counted the loan from its receipt, both would use the share.
         """
         world = LimitWorld(2)
         for _ in range(10):
@@ -207,7 +211,7 @@
         world.beat(0, 0, 0)
         world.hear(1, 0, 0)
         world.lend(1, 0, 0)
-        world.now += GRANT_SECONDS + 1
+        world.now += LOAN_SECONDS + 1
         world.borrow(0, 1, 0)
         world.lend(1, 0, 0)
         total = sum(limits.allowed("c", 30.0, world.now) for limits in world.limits)
@@ -260,8 +264,8 @@
         self.clock = FakeClock()
         self.table = KeyTable("h0-" + "a" * 16, self.clock, 100)
 
-    def begin(self, key, mark=b"m", caller="c", owner=None):
-        return self.table.begin(caller, key, owner or read_owner(key), mark)
+    def begin(self, key, digest=b"m", caller="c", owner=None):
+        return self.table.begin(caller, key, owner or read_owner(key), digest)
 
     def key(self, rest="12345678"):
         return self.table.prefix() + rest
@@ -309,7 +313,7 @@
         )
     )
     def test_no_key_ever_runs_twice_however_long_after(self, steps):
-        """Against a naive table that forgets nothing."""
+        """Compares the table with a set of all keys that ever ran."""
         clock = FakeClock()
         table = KeyTable("h0-" + "b" * 16, clock, 1000)
         keys, ran = {}, set()
@@ -330,7 +334,7 @@
         ("made up", "h0-" + "a" * 16 + ".7.12345678", Kind.BAD_REQUEST),
         ("old", "h0-" + "a" * 16 + ".0.12345678", Kind.KEY_EXPIRED),
     )
-    def test_prefixes_that_do_not_stand(self, _, key, expected):
+    def test_invalid_prefixes(self, _, key, expected):
         self.clock.advance(PERIOD_SECONDS * KEPT_PERIODS + 1)
         self.assertEqual(self.begin(key).kind, expected)
 
@@ -338,7 +342,7 @@
     def test_keys_without_a_prefix(self, key):
         self.assertIsNone(read_owner(key))
 
-    def test_an_old_claim_proves_nothing(self):
+    def test_an_expired_claim_is_refused(self):
         self.clock.advance(PERIOD_SECONDS * KEPT_PERIODS + 1)
         found = self.begin("plain", owner=Owner("h0-" + "a" * 16, 0))
         self.assertEqual(found.kind, Kind.KEY_EXPIRED)
@@ -358,7 +362,7 @@
 
 class Placement(unittest.TestCase):
     def follow(self, accepted, views, demand=(), rounds=60, grow=True):
-        """Carry plans out at once until nothing is left to do; return views and moves."""
+        """Apply plans immediately until no moves are left; return the views and all moves."""
         moves = []
         by_name = {view.name: view for view in views}
         for _ in range(rounds):
@@ -435,7 +439,7 @@
         self.assertTrue(plan.unmet)
         self.assertTrue(all(move.reason == "floor" for move in plan.moves))
 
-    def test_a_hot_model_grows_and_comes_to_rest(self):
+    def test_a_hot_model_gets_copies_until_the_plan_is_stable(self):
         accepted = self.sample()
         views, _ = self.follow(accepted, self.views(accepted))
         demand = {"m0@1": 2.5}
@@ -459,7 +463,7 @@
         _, moves = self.follow(accepted, views.values(), {"m0@1": 0.85}.items())
         self.assertEqual(bool(moves), moved)
 
-    def test_a_hot_adapter_brings_its_base_along(self):
+    def test_a_hot_adapter_is_loaded_with_its_base_model(self):
         accepted = self.sample()
         views, _ = self.follow(accepted, self.views(accepted))
         views, _ = self.follow(accepted, views.values(), {"a0@1~m0@1": 3.0}.items())
@@ -481,7 +485,7 @@
         st.integers(2, 3),
     )
     def test_against_naive_and_the_best_of_all(self, sizes, rates, engines):
-        """Never worse than one copy each; at most a stated gap above the exhaustive best."""
+        """The cost is never above that of one copy each, nor above 4 times the optimum plus 60."""
         document = {
             "engines": [builders.engine(f"e{n}", (100,)) for n in range(engines)],
             "models": [builders.model(f"m{n}", size) for n, size in enumerate(sizes)],
