--- a/extras/pacing_policies.py
+++ b/extras/pacing_policies.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from extras.engine_model import EngineShape, Load, Prompt
-from peridotdock.decisions.choice import Candidate, Work, choose
-from peridotdock.decisions.pacing import Denial, Grant, PaceLimit, Pacer, PromptAsk, limit_pace
+from peridotdock.decisions.choice import Candidate, RequestCost, choose
+from peridotdock.decisions.pacing import Denial, Grant, PaceLimit, Pacer, QueuedPrompt, limit_pace
 
 # Seconds between two questions of a host whose prompt is queued.
 ASK_SECONDS = 0.002
@@ -16,9 +16,9 @@
 SERVICE_SECONDS = 1.5
 
 
-def work_of(prompt: Prompt, shape: EngineShape) -> Work:
+def work_of(prompt: Prompt, shape: EngineShape) -> RequestCost:
     """Return what a prompt asks of an engine."""
-    return Work(prompt.tokens, 0, shape.per_token, SERVICE_SECONDS)
+    return RequestCost(prompt.tokens, 0, shape.per_token, SERVICE_SECONDS)
 
 
 class Alone:
@@ -100,21 +100,21 @@
         if row.outcome is None:
             return now + ASK_SECONDS
         del self._queued[prompt.id]
-        return int(row.outcome.found.candidate.key) if isinstance(row.outcome, Grant) else None
+        return int(row.outcome.prediction.candidate.key) if isinstance(row.outcome, Grant) else None
 
-    def _ask(self, prompt: Prompt) -> PromptAsk:
+    def _ask(self, prompt: Prompt) -> QueuedPrompt:
         work = work_of(prompt, self._shape)
         route = prompt.route
-        send_by = prompt.came + route.target - work.tokens * work.per_token - SPARE_SECONDS
+        send_by = prompt.came + route.target - work.tokens * work.seconds_per_token - SPARE_SECONDS
         leave_by = prompt.came + self._load.patience
-        return PromptAsk(prompt.id, str(prompt.model), work, route.rank, send_by, leave_by)
+        return QueuedPrompt(prompt.id, str(prompt.model), work, route.rank, send_by, leave_by)
 
     def _pump(self, now: float) -> None:
-        decided, self._next = self._pacer.pump(now, self._limit, self._look)
+        decided, self._next = self._pacer.dispatch(now, self._limit, self._look)
         for row in decided:
-            self._queued[row.ask.id].outcome = row
+            self._queued[row.prompt.id].outcome = row
 
-    def _look(self, ask: PromptAsk) -> list[Candidate]:
+    def _look(self, ask: QueuedPrompt) -> list[Candidate]:
         places = self._shape.places
         return [
             Candidate(str(engine), 0, self._told.get(engine, 0), places, 0, False, 1.0, True)
--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -14,7 +14,7 @@
 
 from peridotdock.board import Board, Known, Slot
 from peridotdock.context import Context
-from peridotdock.decisions.poison import FATAL_ENDS, Verdict, find_poison
+from peridotdock.decisions.poison import MIN_CRASHES, Verdict, find_poison
 from peridotdock.errors import Failure, Kind
 from peridotdock.schema.messages import EndpointEnd, EndsFact
 from peridotdock.trials import Trials
@@ -175,7 +175,7 @@
             return
         known = self._ends.get(start) or End(at, frozenset(), frozenset())
         self._counts.update(contents - known.contents)
-        often = {c for c in contents if self._counts[c] >= FATAL_ENDS}
+        often = {c for c in contents if self._counts[c] >= MIN_CRASHES}
         self._news = self._news or not often <= self._often
         self._often |= often
         self._ends[start] = End(
@@ -193,7 +193,7 @@
         end = self._ends[start]
         for content in contents & end.contents:
             self._counts[content] -= 1
-            if self._counts[content] < FATAL_ENDS:
+            if self._counts[content] < MIN_CRASHES:
                 self._often.discard(content)
             if not self._counts[content]:
                 del self._counts[content]
--- a/peridotdock/decisions/adapters.py
+++ b/peridotdock/decisions/adapters.py
@@ -7,38 +7,38 @@
 
 from peridotdock.clients.engines import Action
 from peridotdock.decisions.copies import SPARE_COPY_DEMAND
-from peridotdock.decisions.draft import Draft, EngineView, Step, rate_of
+from peridotdock.decisions.draft import Draft, EngineView, Step, peak_demand
 
 # Adapter places of an engine that are not filled without need, so that the next adapter asked for
 # needs no unload first.
-KEPT_PLACES = 1
+SPARE_ADAPTER_SLOTS = 1
 
 
 def place_adapters(draft: Draft) -> None:
     """Load the adapters that are asked for, on an engine that holds their model."""
     for item, found in sorted(draft.demand.items(), key=lambda row: -row[1].waiting):
         model, _, adapter = item.partition("/")
-        if adapter and found.waiting and not held_ready(draft, model, adapter):
+        if adapter and found.waiting and not adapter_ready(draft, model, adapter):
             place_adapter(draft, model, adapter)
 
 
-def fill_places(draft: Draft) -> None:
+def preload_adapters(draft: Draft) -> None:
     """Load adapters that nobody waits for into places that are free, for models in demand.
 
     A first request then finds its adapter even while no host orders engines or while the engine
     is busy with a model, which keeps adapters out for as long as that takes.
     """
     for model in draft.spec.models.values():
-        if rate_of(draft, model.name) < SPARE_COPY_DEMAND:
+        if peak_demand(draft, model.name) < SPARE_COPY_DEMAND:
             continue
         for number in range(1, model.adapters + 1):
             adapter = f"a{number}"
-            if held_ready(draft, model.name, adapter):
+            if adapter_ready(draft, model.name, adapter):
                 continue
             free = [
                 engine
-                for engine in open_bases(draft, model.name)
-                if count_adapters(engine) < draft.spec.adapter_places - KEPT_PLACES
+                for engine in engines_for_adapter(draft, model.name)
+                if count_adapters(engine) < draft.spec.adapter_places - SPARE_ADAPTER_SLOTS
             ]
             if not free:
                 break
@@ -46,32 +46,33 @@
             draft.add(Step(engine.key, Action.LOAD, model.name, adapter, "free place"))
 
 
-def held_ready(draft: Draft, model: str, adapter: str) -> bool:
+def adapter_ready(draft: Draft, model: str, adapter: str) -> bool:
     """Tell whether some engine can serve an adapter."""
     return (model, adapter) in draft.ready_adapters
 
 
-def open_bases(draft: Draft, model: str) -> list[EngineView]:
+def engines_for_adapter(draft: Draft, model: str) -> list[EngineView]:
     """Return the engines that hold a model and take an order for one of its adapters now."""
     rows = draft.ready(model)
-    return [e for e in rows if not (e.busy or e.dropping or e.key in draft.taken)]
+    return [e for e in rows if not (e.busy or e.unloading or e.key in draft.ordered_engines)]
 
 
 def place_adapter(draft: Draft, model: str, adapter: str) -> None:
     """Order an adapter's load where a place is free, or the unload that frees one."""
-    bases = open_bases(draft, model)
-    if not bases:
+    holders = engines_for_adapter(draft, model)
+    if not holders:
         return
     places = draft.spec.adapter_places
-    engine = min(bases, key=lambda e: (count_adapters(e) >= places, e.ahead, e.key))
+    engine = min(holders, key=lambda e: (count_adapters(e) >= places, e.queued_tokens, e.key))
     if count_adapters(engine) < places:
         draft.add(Step(engine.key, Action.LOAD, model, adapter, "asked for"))
         return
-    found = [(engine, least_wanted_adapter(draft, engine)) for engine in bases]
-    options = [(e, victim) for e, victim in found if victim is not None and not e.freeing]
+    found = [(engine, least_wanted_adapter(draft, engine)) for engine in holders]
+    options = [(e, victim) for e, victim in found if victim is not None and not e.freeing_adapter]
     if options:
         engine, victim = min(
-            options, key=lambda row: (adapter_worth(draft, *row), row[0].ahead, row[0].key)
+            options,
+            key=lambda row: (adapter_eviction_key(draft, *row), row[0].queued_tokens, row[0].key),
         )
         draft.add(Step(engine.key, Action.UNLOAD, *victim, f"for {model}/{adapter}"))
 
@@ -79,20 +80,20 @@
 def count_adapters(engine: EngineView) -> int:
     """Return how many adapter places are taken, or may be by an order that arrives late."""
     count = sum(map(len, engine.models.values()))
-    if engine.late:
+    if engine.unanswered:
         held = {f"{model}/{name}" for model, names in engine.models.items() for name in names}
-        count += sum("/" in item for item in engine.late - held)
+        count += sum("/" in item for item in engine.unanswered - held)
     return count
 
 
 def least_wanted_adapter(draft: Draft, engine: EngineView) -> tuple[str, str] | None:
     """Return the adapter on an engine that is asked for least and not waited for."""
     held = [(model, name) for model, names in engine.models.items() for name in names]
-    idle = [row for row in held if not draft.asked("/".join(row)).waiting]
-    return min(idle, key=lambda row: adapter_worth(draft, engine, row), default=None)
+    idle = [row for row in held if not draft.demand_for("/".join(row)).waiting]
+    return min(idle, key=lambda row: adapter_eviction_key(draft, engine, row), default=None)
 
 
-def adapter_worth(
+def adapter_eviction_key(
     draft: Draft, engine: EngineView, row: tuple[str, str]
 ) -> tuple[bool, float, float, tuple[str, str]]:
     """Return what to rank adapters by: those without requests first, then the least asked for.
@@ -100,5 +101,5 @@
     An adapter in use goes only when its requests have ended, and keeps its place until then.
     """
     item = "/".join(row)
-    found = draft.asked(item)
-    return engine.running.get(item, 0) > 0, found.current, found.rate, row
+    found = draft.demand_for(item)
+    return engine.running.get(item, 0) > 0, found.current_rate, found.peak_rate, row
--- a/peridotdock/decisions/admission.py
+++ b/peridotdock/decisions/admission.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from peridotdock.decisions.choice import Prediction, Work
+from peridotdock.decisions.choice import Prediction, RequestCost
 
 # Share of the time that a caller stays which the wait may take, by the rank of its route. Engines
 # serve the first rank before all that waits there, so most of the queue is not before it; for the
@@ -17,16 +17,16 @@
 WAIT_SHARES = (1.5, 0.9)
 # Share of an engine's places below which nothing is turned away: what is thought to wait there may
 # have gone, as the word of other hosts is some tenths of a second old.
-BUSY_SHARE = 0.5
+MIN_BUSY_SHARE = 0.5
 # Shortest and longest time, in seconds, after which a caller is asked to come back.
-SHORTEST_RETRY = 0.2
-LONGEST_RETRY = 4.0
+MIN_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 4.0
 # Spread of that time, so that those that were turned away together don't come back together.
 RETRY_SPREAD = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
+class ExcessiveWait:
     """A wait that is too long, and what was allowed, in seconds."""
 
     wait: float
@@ -38,17 +38,19 @@
         ``draw`` gives a number from 0 to 1.
         """
         seconds = (self.wait - self.allowed / 2) * (1 + RETRY_SPREAD * (draw() - 0.5))
-        return min(LONGEST_RETRY, max(SHORTEST_RETRY, seconds))
+        return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, seconds))
 
 
-def judge_wait(found: Prediction, work: Work, left: float, rank: int) -> Crowd | None:
+def check_wait(
+    found: Prediction, work: RequestCost, left: float, rank: int
+) -> ExcessiveWait | None:
     """Return why a request is not to be sent to the engine that would answer it first, or None.
 
     ``left`` is how long its caller stays without a first event, in seconds. Plain services are left
     out: how long one takes is known too roughly.
     """
     candidate = found.candidate
-    if work.tokens == 0 or candidate.running < BUSY_SHARE * candidate.slots:
+    if work.tokens == 0 or candidate.running < MIN_BUSY_SHARE * candidate.slots:
         return None
     allowed = WAIT_SHARES[min(rank, len(WAIT_SHARES) - 1)] * max(0.0, left)
-    return Crowd(found.seconds, allowed) if found.seconds > allowed else None
+    return ExcessiveWait(found.seconds, allowed) if found.seconds > allowed else None
--- a/peridotdock/decisions/backoff.py
+++ b/peridotdock/decisions/backoff.py
@@ -10,9 +10,9 @@
 
 # Seconds of the first wait, about as long as a plain service's request; each further one is twice
 # as long.
-FIRST_SECONDS = 0.04
+FIRST_BACKOFF_SECONDS = 0.04
 # Most of the time left that one wait may take: the answer must still come in time.
-MOST_SHARE = 0.25
+MAX_BACKOFF_SHARE = 0.25
 
 
 def backoff_seconds(refusals: int, left: float, draw: Callable[[], float]) -> float:
@@ -22,5 +22,5 @@
     Half to one and a half times the wait, so that those that were refused together don't come back
     together.
     """
-    longest = max(0.0, left) * MOST_SHARE
-    return min(longest, FIRST_SECONDS * 2 ** (refusals - 1)) * (0.5 + draw())
+    longest = max(0.0, left) * MAX_BACKOFF_SHARE
+    return min(longest, FIRST_BACKOFF_SECONDS * 2 ** (refusals - 1)) * (0.5 + draw())
--- a/peridotdock/decisions/choice.py
+++ b/peridotdock/decisions/choice.py
@@ -16,9 +16,9 @@
 # the lag of the hosts' reports to each other leave this much open.
 TIE_SECONDS = 0.004
 # Parts of an endpoint's places by which equal ones are told apart.
-FULLNESS_STEPS = 8
+OCCUPANCY_STEPS = 8
 # Share of a shared part that is taken to be cached on the endpoint that all hosts prefer for it.
-PREFERRED_TRUST = 0.6
+PREFERRED_CACHED_SHARE = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,31 +34,31 @@
     """
 
     key: str
-    ahead: float
+    queued_tokens: float
     running: int
     slots: int
-    cached: int
+    cached_tokens: int
     preferred: bool
     slowness: float
-    near: bool
+    same_domain: bool
     suspect: bool = False
     permit_wait: float = 0.0
-    permit_gap: float = 0.0
-    rest: float = 0.0
+    permit_interval: float = 0.0
+    backoff: float = 0.0
 
     @property
-    def limited(self) -> bool:
+    def rate_limited(self) -> bool:
         """Tell whether the endpoint takes only so many requests a second."""
-        return self.permit_gap > 0
+        return self.permit_interval > 0
 
     @property
-    def opens_in(self) -> float:
+    def available_in(self) -> float:
         """Return the seconds until the host that looks may send there, as far as it knows."""
-        return max(self.permit_wait, self.rest)
+        return max(self.permit_wait, self.backoff)
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class RequestCost:
     """What a request asks of an engine; a plain service has no tokens.
 
     ``per_token`` is the time to read one prompt token, ``service`` how long a request holds its
@@ -66,9 +66,9 @@
     """
 
     tokens: int
-    shared: int
-    per_token: float
-    service: float
+    shared_tokens: int
+    seconds_per_token: float
+    service_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,58 +83,60 @@
     granted: bool = False
 
 
-def predict(candidate: Candidate, work: Work) -> float:
+def predict(candidate: Candidate, work: RequestCost) -> float:
     """Return the seconds until the first token, or the answer of a plain service."""
     over = candidate.running + 1 - candidate.slots
-    wait = max(0, over) * work.service / max(1, candidate.slots)
+    wait = max(0, over) * work.service_seconds / max(1, candidate.slots)
     if work.tokens == 0:
-        return candidate.slowness * (work.service + wait)
-    reading = (candidate.ahead + unread(candidate, work)) * work.per_token
-    return candidate.slowness * (reading + wait + STEP_SECONDS)
+        return candidate.slowness * (work.service_seconds + wait)
+    prefill = (candidate.queued_tokens + uncached_tokens(candidate, work)) * work.seconds_per_token
+    return candidate.slowness * (prefill + wait + STEP_SECONDS)
 
 
-def unread(candidate: Candidate, work: Work) -> int:
+def uncached_tokens(candidate: Candidate, work: RequestCost) -> int:
     """Return how many prompt tokens the endpoint has to read for a request, as far as is known."""
-    return max(0, work.tokens - candidate.cached)
+    return max(0, work.tokens - candidate.cached_tokens)
 
 
-def trust_preferred(cached: int, shared: int) -> int:
+def estimate_cached_tokens(cached: int, shared: int) -> int:
     """Return how much of a prompt counts as kept at the endpoint that all hosts prefer for it.
 
     Other hosts' requests may have left the shared part there, which this host does not hear of.
     """
-    return max(cached, int(shared * PREFERRED_TRUST))
+    return max(cached, int(shared * PREFERRED_CACHED_SHARE))
 
 
-def read_seconds(work: Work) -> float:
+def expected_prefill_seconds(work: RequestCost) -> float:
     """Return the engine's time that a request asks for, with its shared part read as often."""
-    return (work.tokens - work.shared * PREFERRED_TRUST) * work.per_token
+    return (work.tokens - work.shared_tokens * PREFERRED_CACHED_SHARE) * work.seconds_per_token
 
 
-def choose(candidates: Sequence[Candidate], work: Work, rng: random.Random) -> Prediction | None:
+def choose(
+    candidates: Sequence[Candidate], work: RequestCost, rng: random.Random
+) -> Prediction | None:
     """Return the endpoint to send to, or None when there is none.
 
     Suspects are passed over unless all are: to leave out every endpoint would turn a fault that
     all share into an outage of our own making.
     """
-    sound = [candidate for candidate in candidates if not candidate.suspect] or list(candidates)
-    if not sound:
+    healthy = [candidate for candidate in candidates if not candidate.suspect] or list(candidates)
+    if not healthy:
         return None
-    found = [Prediction(candidate, predict(candidate, work)) for candidate in sound]
+    found = [Prediction(candidate, predict(candidate, work)) for candidate in healthy]
     best = min(prediction.seconds for prediction in found)
     equal = [p for p in found if p.seconds <= best + TIE_SECONDS]
-    return min(equal, key=lambda p: rank(p.candidate, rng))
+    return min(equal, key=lambda p: tie_break_key(p.candidate, rng))
 
 
-def rank(candidate: Candidate, rng: random.Random) -> tuple[bool, int, bool, float]:
+def tie_break_key(candidate: Candidate, rng: random.Random) -> tuple[bool, int, bool, float]:
     """Return what equal endpoints are ordered by: what they have kept, how full they are, the way.
 
     Requests that run make each other's tokens slower, which a prediction of the first one does not
     show.
     """
-    return not candidate.preferred, fullness(candidate), not candidate.near, rng.random()
+    return not candidate.preferred, occupancy(candidate), not candidate.same_domain, rng.random()
 
 
-def fullness(candidate: Candidate) -> int:
+def occupancy(candidate: Candidate) -> int:
     """Return how many eighths of an endpoint's places are taken."""
-    return FULLNESS_STEPS * candidate.running // max(1, candidate.slots)
+    return OCCUPANCY_STEPS * candidate.running // max(1, candidate.slots)
--- a/peridotdock/decisions/draft.py
+++ b/peridotdock/decisions/draft.py
@@ -30,17 +30,17 @@
     domain: str
     models: Mapping[str, frozenset[str]]
     loading: frozenset[str]
-    dropping: frozenset[str]
+    unloading: frozenset[str]
     in_memory: frozenset[str]
     on_disk: frozenset[str]
     busy: bool
-    ahead: float
-    freeing: bool = False
-    settling: frozenset[str] = frozenset()
-    late: frozenset[str] = frozenset()
+    queued_tokens: float
+    freeing_adapter: bool = False
+    recently_loaded: frozenset[str] = frozenset()
+    unanswered: frozenset[str] = frozenset()
     running: Mapping[str, int] = field(default_factory=dict)
 
-    def runs(self, model: str) -> int:
+    def running_requests(self, model: str) -> int:
         """Return how many requests for a model and its adapters run there."""
         prefix = f"{model}/"
         return sum(
@@ -49,12 +49,12 @@
             if item == model or item.startswith(prefix)
         )
 
-    def staying(self) -> Set[str]:
+    def retained_items(self) -> Set[str]:
         """Return what takes room for longer: models held and not dropped, and late ones."""
-        held = self.models.keys() - self.dropping
-        return held | self.late if self.late else held
+        held = self.models.keys() - self.unloading
+        return held | self.unanswered if self.unanswered else held
 
-    def at_hand(self, model: str) -> bool:
+    def has_cached_weights(self, model: str) -> bool:
         """Tell whether the engine can load a model without the weight store."""
         return model in self.in_memory or model in self.on_disk
 
@@ -70,14 +70,14 @@
     """
 
     waiting: int = 0
-    rate: float = 0.0
-    recent: float | None = None
-    queued: int = 0
+    peak_rate: float = 0.0
+    recent_rate: float | None = None
+    withheld_tokens: int = 0
 
     @property
-    def current(self) -> float:
+    def current_rate(self) -> float:
         """Return the engine seconds a second asked for now."""
-        return self.rate if self.recent is None else self.recent
+        return self.peak_rate if self.recent_rate is None else self.recent_rate
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,11 +93,11 @@
     model: str
     adapter: str = ""
     reason: str = ""
-    room_for: str = ""
+    evicted_for: str = ""
     running: int = 0
 
 
-NONE = Demand()
+NO_DEMAND = Demand()
 
 
 @dataclass
@@ -119,20 +119,20 @@
     engines: dict[str, EngineView]
     demand: Mapping[str, Demand]
     loads_left: int
-    promised: Mapping[str, str]
+    reserved: Mapping[str, str]
     by_model: Mapping[str, Demand]
-    settled: bool
-    heard: bool = True
-    stream: float = 0.0
+    demand_known: bool
+    running_known: bool = True
+    stream_seconds: float = 0.0
     steps: list[Step] = field(default_factory=list)
-    taken: set[str] = field(default_factory=set)
-    crowded: dict[str, bool] = field(default_factory=dict)
-    worth: dict[tuple[str, str], float] = field(default_factory=dict)
+    ordered_engines: set[str] = field(default_factory=set)
+    overloaded: dict[str, bool] = field(default_factory=dict)
+    copy_values: dict[tuple[str, str], float] = field(default_factory=dict)
     victims: dict[tuple[str, int, bool], Sequence[str]] = field(default_factory=dict)
 
-    def asked(self, item: str) -> Demand:
+    def demand_for(self, item: str) -> Demand:
         """Return the demand for an item."""
-        return self.demand.get(item, NONE)
+        return self.demand.get(item, NO_DEMAND)
 
     @cached_property
     def _holders(self) -> dict[str, list[EngineView]]:
@@ -142,7 +142,7 @@
         """
         found: dict[str, list[EngineView]] = {}
         for engine in self.engines.values():
-            for model in engine.models.keys() - engine.dropping:
+            for model in engine.models.keys() - engine.unloading:
                 found.setdefault(model, []).append(engine)
         return found
 
@@ -171,11 +171,11 @@
         for item, row in self.demand.items():
             model, _, adapter = item.partition("/")
             if adapter:
-                found.setdefault(model, []).append(row.current)
+                found.setdefault(model, []).append(row.current_rate)
         return found
 
     @cached_property
-    def rooms(self) -> dict[str, float]:
+    def free_mb(self) -> dict[str, float]:
         """The megabytes left for models on each engine.
 
         Room for every adapter place is always kept: an adapter's load then never needs a look at
@@ -186,16 +186,16 @@
         largest = max((model.adapter_mb for model in self.spec.models.values()), default=0.0)
         room = self.spec.weights_mb - self.spec.adapter_places * largest
         return {
-            key: room - sum(sizes.get(name, 0.0) for name in engine.staying())
+            key: room - sum(sizes.get(name, 0.0) for name in engine.retained_items())
             for key, engine in self.engines.items()
         }
 
     @cached_property
-    def loads(self) -> dict[str, float]:
+    def utilization(self) -> dict[str, float]:
         """The engine seconds a second asked of each engine, each model's over all its copies."""
         found = dict.fromkeys(self.engines, 0.0)
         for model, engines in self._holders.items():
-            share = current_of(self, model) / len(engines)
+            share = current_demand(self, model) / len(engines)
             for engine in engines:
                 found[engine.key] += share
         return found
@@ -210,12 +210,12 @@
 
     def add(self, step: Step) -> None:
         """Add a step."""
-        self.taken.add(step.engine)
+        self.ordered_engines.add(step.engine)
         self.steps.append(step)
         if step.action is Action.UNLOAD and not step.adapter:
-            self._drop(step)
+            self._remove_copy(step)
 
-    def _drop(self, step: Step) -> None:
+    def _remove_copy(self, step: Step) -> None:
         """Take a copy for gone, so that the same plan drops no more copies than may go.
 
         Failure guarded against: each of four engines makes room by a copy of the same model, as it
@@ -223,14 +223,14 @@
         """
         for rows in (self._holders, self._ready):
             rows[step.model] = [e for e in rows.get(step.model, ()) if e.key != step.engine]
-        self.worth.clear()
+        self.copy_values.clear()
         self.victims.clear()
-        self.crowded.clear()
+        self.overloaded.clear()
 
 
 def model_demand(draft: Draft, model: str) -> Demand:
     """Return the demand for a model with all its adapters."""
-    return draft.by_model.get(model, NONE)
+    return draft.by_model.get(model, NO_DEMAND)
 
 
 def sum_by_model(demand: Mapping[str, Demand]) -> dict[str, Demand]:
@@ -241,24 +241,24 @@
     return {
         model: Demand(
             sum(row.waiting for row in rows),
-            sum(row.rate for row in rows),
-            sum(row.current for row in rows),
-            sum(row.queued for row in rows),
+            sum(row.peak_rate for row in rows),
+            sum(row.current_rate for row in rows),
+            sum(row.withheld_tokens for row in rows),
         )
         for model, rows in found.items()
     }
 
 
-def current_of(draft: Draft, model: str) -> float:
+def current_demand(draft: Draft, model: str) -> float:
     """Return the engine seconds a second asked of a model now."""
-    return model_demand(draft, model).current
+    return model_demand(draft, model).current_rate
 
 
-def rate_of(draft: Draft, model: str) -> float:
+def peak_demand(draft: Draft, model: str) -> float:
     """Return the engine seconds a second asked of a model, at its peak of late."""
-    return model_demand(draft, model).rate
+    return model_demand(draft, model).peak_rate
 
 
 def in_use(draft: Draft, model: str) -> bool:
     """Tell whether requests for a model are likely to run now."""
-    return current_of(draft, model) >= IDLE_DEMAND
+    return current_demand(draft, model) >= IDLE_DEMAND
--- a/peridotdock/decisions/freshness.py
+++ b/peridotdock/decisions/freshness.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 # The bound of the smallest deployment known, in seconds; its limits suit any longer one.
-LEAST_BOUND = 2.0
+MIN_BOUND_SECONDS = 2.0
 # Shares of the bound. A call that is lost right after it was made costs pause, hold and answer,
 # then one more call and two hops between hosts, which must stay below the whole.
 PAUSE_SHARE = 0.2
@@ -37,7 +37,7 @@
     age: float
 
 
-def share_out(bound: float) -> ViewLimits:
+def divide_bound(bound: float) -> ViewLimits:
     """Return the limits for changes that must be seen within ``bound`` seconds."""
     return ViewLimits(
         pause=PAUSE_SHARE * bound,
@@ -50,11 +50,11 @@
 
 # Seconds before a call is made again after more than one in a row was lost, and the most of them.
 # The first is made again at once: what was lost is one call, as a rule, and not the store.
-AGAIN_SECONDS = 0.3
-MOST_AGAIN_SECONDS = 1.0
+RETRY_SECONDS = 0.3
+MAX_RETRY_SECONDS = 1.0
 
 
-def wait_after(losses: int, lost: bool = True) -> float:
+def retry_delay(losses: int, lost: bool = True) -> float:
     """Return the seconds to wait after so many calls in a row failed.
 
     ``lost`` tells that the last one was not answered; one that was refused is not made again at
@@ -62,5 +62,5 @@
     after an outage in which hosts may still be behind.
     """
     if losses <= 1:
-        return 0.0 if lost else AGAIN_SECONDS
-    return min(MOST_AGAIN_SECONDS, AGAIN_SECONDS * 2 ** min(losses - 2, 8))
+        return 0.0 if lost else RETRY_SECONDS
+    return min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(losses - 2, 8))
--- a/peridotdock/decisions/health.py
+++ b/peridotdock/decisions/health.py
@@ -7,8 +7,8 @@
 """
 
 # Seconds that an endpoint is left out after the first loss, and at most.
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 4.0
+FIRST_PAUSE_SECONDS = 0.5
+MAX_PAUSE_SECONDS = 4.0
 # Weight of one outcome in the failure share: about the last eight count.
 OUTCOME_GAIN = 0.12
 # Share of failed requests from which an endpoint is left out; plain services fail up to 0.14 of
@@ -24,9 +24,9 @@
 OVERDUE_SECONDS = 0.3
 # Overdue answers one after the other from which on an endpoint is left out. One alone may be a
 # request that takes longer than its route allows, which is its route's matter.
-MOST_OVERDUE = 2
-FASTEST = 0.5
-SLOWEST = 20.0
+MAX_OVERDUE = 2
+MIN_SLOWNESS = 0.5
+MAX_SLOWNESS = 20.0
 
 
 class Health:
@@ -36,66 +36,66 @@
     """
 
     def __init__(self) -> None:
-        self._failing = 0.0
+        self._failure_share = 0.0
         self._overdue = 0
-        self._until = float("-inf")
-        self._closed_until = float("-inf")
-        self._pause = FIRST_PAUSE
+        self._excluded_until = float("-inf")
+        self._absent_until = float("-inf")
+        self._pause = FIRST_PAUSE_SECONDS
         self.unreachable_at = float("-inf")
         self._slowness = 1.0
         self._slow_at = 0.0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Count a request that the endpoint served."""
         self._overdue = 0
-        self._failing -= OUTCOME_GAIN * self._failing
-        if self._failing < FAILING_SHARE:
-            self._pause = FIRST_PAUSE
+        self._failure_share -= OUTCOME_GAIN * self._failure_share
+        if self._failure_share < FAILING_SHARE:
+            self._pause = FIRST_PAUSE_SECONDS
 
-    def erred(self, now: float) -> None:
+    def record_error(self, now: float) -> None:
         """Count a request that the endpoint answered with a failure of its own."""
         self._overdue = 0
-        self._failing += OUTCOME_GAIN * (1.0 - self._failing)
-        if self._failing >= FAILING_SHARE:
-            self._leave_out(now)
+        self._failure_share += OUTCOME_GAIN * (1.0 - self._failure_share)
+        if self._failure_share >= FAILING_SHARE:
+            self._exclude(now)
 
-    def lost(self, now: float) -> None:
+    def record_loss(self, now: float) -> None:
         """Count a request that got no answer: unreachable, reset or silent."""
-        self._failing += OUTCOME_GAIN * (1.0 - self._failing)
-        self._leave_out(now)
+        self._failure_share += OUTCOME_GAIN * (1.0 - self._failure_share)
+        self._exclude(now)
 
-    def overdue(self, now: float) -> None:
+    def record_overdue(self, now: float) -> None:
         """Count an answer that did not come in its time."""
         self._overdue += 1
-        if self._overdue >= MOST_OVERDUE:
-            self.lost(now)
+        if self._overdue >= MAX_OVERDUE:
+            self.record_loss(now)
 
-    def unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Count a connection that could not be made: nothing is there for now."""
-        self.lost(now)
+        self.record_loss(now)
         self.unreachable_at = now
-        self._closed_until = max(self._closed_until, self._until)
+        self._absent_until = max(self._absent_until, self._excluded_until)
 
-    def closed(self, now: float) -> bool:
+    def absent(self, now: float) -> bool:
         """Tell whether nothing was there a moment ago: what it held counts as absent.
 
         Failure guarded against: the only endpoint with a model has crashed, and its entry stays
         for some heartbeats. Requests then tried it again and again at once, hundreds a second,
         instead of waiting for the model to be loaded elsewhere.
         """
-        return now < self._closed_until
+        return now < self._absent_until
 
-    def _leave_out(self, now: float) -> None:
-        if now < self._until:
+    def _exclude(self, now: float) -> None:
+        if now < self._excluded_until:
             return
-        self._until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+        self._excluded_until = now + self._pause
+        self._pause = min(MAX_PAUSE_SECONDS, self._pause * 2)
 
     def suspect(self, now: float) -> bool:
         """Tell whether to send elsewhere if that can be."""
-        return now < self._until
+        return now < self._excluded_until
 
-    def measured(self, ratio: float, now: float) -> None:
+    def record_slowness(self, ratio: float, now: float) -> None:
         """Take in the time of one request over the usual time for the same work."""
         current = self.slowness(now)
         self._slowness = current + SLOWNESS_GAIN * (ratio - current)
@@ -104,7 +104,7 @@
     def slowness(self, now: float) -> float:
         """Return the endpoint's time over the usual, fading when it is not measured again."""
         faded = 0.5 ** ((now - self._slow_at) / SLOWNESS_HALF_LIFE)
-        return min(SLOWEST, max(FASTEST, 1.0 + (self._slowness - 1.0) * faded))
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1.0 + (self._slowness - 1.0) * faded))
 
 
 def is_overdue(waited: float, expected: float, loop_delay: float) -> bool:
--- a/peridotdock/decisions/loads.py
+++ b/peridotdock/decisions/loads.py
@@ -12,53 +12,53 @@
 # The operators' bound allows so many beyond the rate in a window.
 EXTRA_LOADS = 3
 # Loads that a holder may have begun after its last word: it tells of each within some milliseconds.
-UNHEARD_LOADS = 2
+UNREPORTED_LOADS = 2
 # Loads of the bound that are left unused: a load begins at its engine some time after the order.
-SPARED_LOADS = 2
+RESERVED_LOADS = 2
 
 
-class LoadRation:
+class LoadRateLimiter:
     """Loads begun lately, over all engines. Times are seconds of any steady clock."""
 
     def __init__(self, per_second: float, window: float, over: float):
-        self._most = max(1, int(per_second * window * over + EXTRA_LOADS) - SPARED_LOADS)
+        self._max_loads = max(1, int(per_second * window * over + EXTRA_LOADS) - RESERVED_LOADS)
         # One more window's worth of slack for the time an order takes to reach its engine.
         self._window = window + 1.0
-        self._begun: deque[float] = deque()
+        self._started: deque[float] = deque()
 
-    def left(self, now: float) -> int:
+    def available(self, now: float) -> int:
         """Return how many loads may begin now."""
-        while self._begun and self._begun[0] <= now - self._window:
-            self._begun.popleft()
-        return self._most - len(self._begun)
+        while self._started and self._started[0] <= now - self._window:
+            self._started.popleft()
+        return self._max_loads - len(self._started)
 
-    def begin(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Count a load."""
-        self._begun.append(now)
+        self._started.append(now)
 
-    def take_back(self, begun: float) -> None:
+    def undo(self, started: float) -> None:
         """Count the load that was begun then no more: its engine refused the order.
 
         Failure guarded against: a load is tried while its engine is still busy, each try counts,
         and then no load may begin for six seconds.
         """
-        if begun in self._begun:
-            self._begun.remove(begun)
+        if started in self._started:
+            self._started.remove(started)
 
-    def begun(self, now: float) -> tuple[float, ...]:
+    def start_times(self, now: float) -> tuple[float, ...]:
         """Return when each load that counts was begun."""
-        self.left(now)
-        return tuple(self._begun)
+        self.available(now)
+        return tuple(self._started)
 
-    def assume_used(self, now: float, heard: Sequence[float] | None) -> None:
+    def take_over(self, now: float, reported_ages: Sequence[float] | None) -> None:
         """Take over from a host that ordered before.
 
         ``heard`` are the ages of the loads that it has told of, None when nothing was heard. It may
         have begun some more after its last word, so those count as begun just now.
         """
-        if heard is not None:
-            self._begun = deque(sorted(now - age for age in heard))
-        unheard = UNHEARD_LOADS if heard is not None else self._most
-        while unheard and self.left(now) > 1:
-            self.begin(now)
-            unheard -= 1
+        if reported_ages is not None:
+            self._started = deque(sorted(now - age for age in reported_ages))
+        unreported = UNREPORTED_LOADS if reported_ages is not None else self._max_loads
+        while unreported and self.available(now) > 1:
+            self.record(now)
+            unreported -= 1
--- a/peridotdock/decisions/overload.py
+++ b/peridotdock/decisions/overload.py
@@ -10,10 +10,10 @@
 
 # Turns of the loop from the choice of an endpoint to the answer written, on a kept connection;
 # counted on a host whose loop was made to turn without pause.
-TURNS_TO_ANSWER = 5
+ITERATIONS_TO_ANSWER = 5
 # Seconds that a turn lasts up to which a host is not behind: the steps of an answer take less than
 # a tenth of a second then.
-CALM_TURN_SECONDS = 0.016
+NORMAL_ITERATION_SECONDS = 0.016
 # Seconds that a timer is late from which on a host counts as behind. A new connection's first
 # request is read four turns after its coming, and callers wait one second for that.
 BEHIND_SECONDS = 0.2
@@ -22,7 +22,7 @@
 UNREADY_SECONDS = 2.5
 # Descriptors left below which a host takes nothing new: each request in work may need one more, and
 # without any the system takes no connection for a second at a time.
-LEAST_DESCRIPTORS = 64
+MIN_FREE_DESCRIPTORS = 64
 # Seconds until a caller may come back: it asks another host, so it need not wait for this one. The
 # spread keeps callers that were refused together from coming back together.
 RETRY_SECONDS = 0.2
@@ -37,7 +37,7 @@
 CONNECT_SHARE = 0.8
 
 
-class Trouble(StrEnum):
+class RefusalReason(StrEnum):
     """Why a host takes no request."""
 
     NO_TIME = "its time is over"
@@ -51,20 +51,20 @@
     """How a host is. Times in seconds; ``free`` descriptors are None when unknown."""
 
     lag: float
-    behind_for: float
-    free: int | None
+    behind_seconds: float
+    free_descriptors: int | None
 
 
-def judge_host(state: HostState) -> Trouble | None:
+def check_host(state: HostState) -> RefusalReason | None:
     """Return why a host isn't ready for anything new, or None."""
-    if state.free is not None and state.free < LEAST_DESCRIPTORS:
-        return Trouble.DESCRIPTORS
-    if state.lag >= BEHIND_SECONDS and state.behind_for >= UNREADY_SECONDS:
-        return Trouble.BEHIND
+    if state.free_descriptors is not None and state.free_descriptors < MIN_FREE_DESCRIPTORS:
+        return RefusalReason.DESCRIPTORS
+    if state.lag >= BEHIND_SECONDS and state.behind_seconds >= UNREADY_SECONDS:
+        return RefusalReason.BEHIND
     return None
 
 
-def judge_send(left: float, expected: float, turn: float) -> Trouble | None:
+def check_send(left: float, expected: float, iteration: float) -> RefusalReason | None:
     """Return why a request is not to be sent, or None.
 
     ``left`` is the time it has, ``expected`` how long its endpoint should take, ``turn`` how long a
@@ -72,13 +72,13 @@
     sent on with next to no time left, runs, and its caller is told 504, which says nothing.
     """
     if left <= 0:
-        return Trouble.NO_TIME
-    if turn > CALM_TURN_SECONDS and left < expected + TURNS_TO_ANSWER * turn:
-        return Trouble.TOO_LATE
+        return RefusalReason.NO_TIME
+    if iteration > NORMAL_ITERATION_SECONDS and left < expected + ITERATIONS_TO_ANSWER * iteration:
+        return RefusalReason.TOO_LATE
     return None
 
 
-def connect_seconds(left: float) -> float:
+def connect_timeout(left: float) -> float:
     """Return how long a new connection to an endpoint may take.
 
     Failure guarded against: an endpoint has gone dark, and each request's time ends while it waits
--- a/peridotdock/decisions/permits.py
+++ b/peridotdock/decisions/permits.py
@@ -14,14 +14,14 @@
 
 # Seconds ahead for which a permit is promised at most. A new bucket is in debt by as much: the host
 # that counted before may have promised what comes in that time.
-PROMISE_SECONDS = 1.0
+MAX_ADVANCE_SECONDS = 1.0
 # Seconds of its limit that an endpoint may get at once; one request at least.
 BURST_SECONDS = 0.5
 # Requests a second that any endpoint gets: only an answer tells that its limit has ended.
-LEAST_RATE = 0.2
+MIN_RATE = 0.2
 # Shortest time, in seconds, after which a caller may come back, and the most by which that is
 # prolonged: those that were turned away together don't come back together.
-SHORTEST_RETRY = 0.2
+MIN_RETRY_SECONDS = 0.2
 RETRY_SPREAD = 1.0
 
 
@@ -40,12 +40,12 @@
 
 def retry_after(wait: float, draw: Callable[[], float]) -> float:
     """Return when a caller without a permit may come back; ``draw`` gives a number from 0 to 1."""
-    return max(SHORTEST_RETRY, wait) * (1 + RETRY_SPREAD * draw())
+    return max(MIN_RETRY_SECONDS, wait) * (1 + RETRY_SPREAD * draw())
 
 
-def permit_gap(limit: float) -> float:
+def permit_interval(limit: float) -> float:
     """Return the seconds between two permits at a limit, 0 where there is none."""
-    return 1 / max(LEAST_RATE, limit)
+    return 1 / max(MIN_RATE, limit)
 
 
 class Permits:
@@ -56,10 +56,10 @@
 
     def wait(self, start: EndpointStart, limit: float, now: float) -> float:
         """Return the seconds until there is a permit that nobody was promised."""
-        rate = max(LEAST_RATE, limit)
+        rate = max(MIN_RATE, limit)
         bucket = self._buckets.get(start)
         if bucket is None:
-            bucket = self._buckets[start] = Bucket(-PROMISE_SECONDS * rate, now)
+            bucket = self._buckets[start] = Bucket(-MAX_ADVANCE_SECONDS * rate, now)
         bucket.fill(rate, max(1.0, BURST_SECONDS * rate), now)
         return max(0.0, (1.0 - bucket.level) / rate)
 
@@ -68,14 +68,14 @@
         self.wait(start, limit, now)
         self._buckets[start].level -= 1.0
 
-    def take(self, start: EndpointStart, limit: float, stays: float, now: float) -> Permit:
+    def take(self, start: EndpointStart, limit: float, max_wait: float, now: float) -> Permit:
         """Give a request the next permit, where that comes while the request ``stays``."""
         wait = self.wait(start, limit, now)
-        given = wait <= min(stays, PROMISE_SECONDS)
+        given = wait <= min(max_wait, MAX_ADVANCE_SECONDS)
         if given:
             self.spend(start, limit, now)
         return Permit(given, wait)
 
-    def forget(self, living: Container[EndpointStart]) -> None:
+    def prune(self, current: Container[EndpointStart]) -> None:
         """Forget the endpoints that are not among the ``living``."""
-        self._buckets = {start: row for start, row in self._buckets.items() if start in living}
+        self._buckets = {start: row for start, row in self._buckets.items() if start in current}
--- a/peridotdock/decisions/placing.py
+++ b/peridotdock/decisions/placing.py
@@ -10,28 +10,33 @@
 from collections.abc import Iterable, Mapping
 
 from peridotdock.clients.engines import Action
-from peridotdock.decisions.adapters import fill_places, place_adapters
-from peridotdock.decisions.copies import all_held, crowded, load_of, wanted_copies
+from peridotdock.decisions.adapters import preload_adapters, place_adapters
+from peridotdock.decisions.copies import (
+    all_models_held,
+    is_overloaded,
+    utilization_of,
+    wanted_copies,
+)
 from peridotdock.decisions.draft import (
     IDLE_DEMAND,
     Demand,
     Draft,
     EngineView,
     Step,
-    current_of,
+    current_demand,
     model_demand,
-    rate_of,
+    peak_demand,
     sum_by_model,
 )
-from peridotdock.decisions.eviction import Claim, cost_of, find_victims
+from peridotdock.decisions.eviction import EvictionLevel, eviction_cost, find_victims
 from peridotdock.deployment import EngineSpec, Model
 
 # Seconds of delay that an engine's load counts for when an engine is chosen: at a load of one,
 # requests wait for about this long.
-LOAD_SECONDS = 1.0
+UTILIZATION_DELAY_SECONDS = 1.0
 # Seconds that a prompt token waiting at an engine counts for when an engine is chosen: about three
 # times what reading it takes, as the load that made it wait goes on.
-TOKEN_SECONDS = 0.0001
+TOKEN_DELAY_SECONDS = 0.0001
 
 
 def make_plan(
@@ -39,11 +44,11 @@
     engines: Iterable[EngineView],
     demand: Mapping[str, Demand],
     loads_left: int,
-    promised: Mapping[str, str],
-    held_back: Iterable[str] = (),
-    settled: bool = True,
-    stream: float = 0.0,
-    heard: bool = True,
+    reserved: Mapping[str, str],
+    excluded: Iterable[str] = (),
+    demand_known: bool = True,
+    stream_seconds: float = 0.0,
+    running_known: bool = True,
 ) -> list[Step]:
     """Return the orders to give next, one an engine at most.
 
@@ -54,13 +59,22 @@
     """
     rows = {engine.key: engine for engine in engines}
     by_model = sum_by_model(demand)
-    taken = set(held_back)
+    ordered = set(excluded)
     draft = Draft(
-        spec, rows, demand, loads_left, promised, by_model, settled, heard, stream, taken=taken
+        spec,
+        rows,
+        demand,
+        loads_left,
+        reserved,
+        by_model,
+        demand_known,
+        running_known,
+        stream_seconds,
+        ordered_engines=ordered,
     )
     place_adapters(draft)
     place_models(draft)
-    fill_places(draft)
+    preload_adapters(draft)
     return draft.steps
 
 
@@ -68,7 +82,10 @@
     """Load what nobody holds and is asked for, then spare and further copies."""
     ranked = sorted(
         draft.spec.models.values(),
-        key=lambda model: (-model_demand(draft, model.name).waiting, -rate_of(draft, model.name)),
+        key=lambda model: (
+            -model_demand(draft, model.name).waiting,
+            -peak_demand(draft, model.name),
+        ),
     )
     for model in ranked:
         found = model_demand(draft, model.name)
@@ -76,16 +93,16 @@
             continue
         if found.waiting:
             load_for_waiting(draft, model)
-        elif found.rate > IDLE_DEMAND:
-            load_somewhere(draft, model, Claim.SURPLUS, "asked for")
-    for model in sorted(ranked, key=lambda model: -current_of(draft, model.name)):
-        missing = len(draft.holders(model.name)) < wanted_copies(draft, model.name)
-        if missing and (all_held(draft) or crowded(draft, model.name)):
-            load_somewhere(draft, model, Claim.SURPLUS, "further copy")
+        elif found.peak_rate > IDLE_DEMAND:
+            load_on_best_engine(draft, model, EvictionLevel.SURPLUS, "asked for")
+    for model in sorted(ranked, key=lambda model: -current_demand(draft, model.name)):
+        too_few = len(draft.holders(model.name)) < wanted_copies(draft, model.name)
+        if too_few and (all_models_held(draft) or is_overloaded(draft, model.name)):
+            load_on_best_engine(draft, model, EvictionLevel.SURPLUS, "further copy")
     for model in ranked:
         if not draft.holders(model.name):
-            claim = Claim.SURPLUS if draft.settled else Claim.NOTHING
-            load_somewhere(draft, model, claim, "held nowhere")
+            level = EvictionLevel.SURPLUS if draft.demand_known else EvictionLevel.NOTHING
+            load_on_best_engine(draft, model, level, "held nowhere")
 
 
 def load_for_waiting(draft: Draft, model: Model) -> None:
@@ -95,16 +112,18 @@
     one unloads a copy in use, and takes no order for seconds until its last stream has ended. So a
     copy in use goes only for more requests than run on it, unless there is no other.
     """
-    if load_somewhere(draft, model, Claim.IDLE, "asked for"):
+    if load_on_best_engine(draft, model, EvictionLevel.IDLE, "asked for"):
         return
     engines = draft.engines.values()
-    soon = any(find_victims(draft, engine, model, Claim.IDLE) is not None for engine in engines)
+    soon = any(
+        find_victims(draft, engine, model, EvictionLevel.IDLE) is not None for engine in engines
+    )
     waiting = model_demand(draft, model.name).waiting
-    load_somewhere(draft, model, Claim.USED, "asked for", waiting if soon else None)
+    load_on_best_engine(draft, model, EvictionLevel.USED, "asked for", waiting if soon else None)
 
 
-def load_somewhere(
-    draft: Draft, model: Model, claim: Claim, reason: str, fewer_than: int | None = None
+def load_on_best_engine(
+    draft: Draft, model: Model, level: EvictionLevel, reason: str, fewer_than: int | None = None
 ) -> bool:
     """Order a load on the best engine, or an unload that makes room for it, by what may go.
 
@@ -112,25 +131,25 @@
     Return whether there was an engine for it, be it that the ration of loads is used up.
     """
     options = []
-    for engine in open_engines(draft, model.name):
-        victims = find_victims(draft, engine, model, claim)
+    for engine in eligible_engines(draft, model.name):
+        victims = find_victims(draft, engine, model, level)
         if victims is None:
             continue
-        if fewer_than is not None and sum(map(engine.runs, victims)) >= fewer_than:
+        if fewer_than is not None and sum(map(engine.running_requests, victims)) >= fewer_than:
             continue
         options.append(
-            (load_seconds(engine, model), cost_of(draft, engine, victims), engine, victims)
+            (load_seconds(engine, model), eviction_cost(draft, engine, victims), engine, victims)
         )
     if not options:
         return False
     seconds, _, engine, victims = min(
         options,
-        key=lambda row: (row[1] > 0, row[0] + row[1] + pressure_on(draft, row[2]), row[2].key),
+        key=lambda row: (row[1] > 0, row[0] + row[1] + expected_delay(draft, row[2]), row[2].key),
     )
     if victims:
         reason = f"for {model.name}"
-        runs = engine.runs(victims[0])
-        draft.add(Step(engine.key, Action.UNLOAD, victims[0], "", reason, model.name, runs))
+        running = engine.running_requests(victims[0])
+        draft.add(Step(engine.key, Action.UNLOAD, victims[0], "", reason, model.name, running))
         return True
     if seconds >= model.load:
         if draft.loads_left <= 0:
@@ -140,29 +159,32 @@
     return True
 
 
-def pressure_on(draft: Draft, engine: EngineView) -> float:
+def expected_delay(draft: Draft, engine: EngineView) -> float:
     """Return the seconds that a request would wait on an engine, about."""
-    return engine.ahead * TOKEN_SECONDS + load_of(draft, engine) * LOAD_SECONDS
+    return (
+        engine.queued_tokens * TOKEN_DELAY_SECONDS
+        + utilization_of(draft, engine) * UTILIZATION_DELAY_SECONDS
+    )
 
 
-def open_engines(draft: Draft, model: str) -> list[EngineView]:
+def eligible_engines(draft: Draft, model: str) -> list[EngineView]:
     """Return the engines that may load a model or make room for it now.
 
     While one is being emptied for the model, others count only where it fits as they are.
     """
-    kept = model in draft.promised.values()
+    kept = model in draft.reserved.values()
     size = draft.spec.models[model].weights_mb
     rows = [
         engine
         for key, engine in draft.engines.items()
-        if draft.promised.get(key, model) == model
-        if not kept or key in draft.promised or draft.rooms[key] >= size
+        if draft.reserved.get(key, model) == model
+        if not kept or key in draft.reserved or draft.free_mb[key] >= size
     ]
     return [
         e
         for e in rows
-        if not (e.busy or e.key in draft.taken or model in e.models)
-        and (not e.dropping or draft.promised.get(e.key) == model)
+        if not (e.busy or e.key in draft.ordered_engines or model in e.models)
+        and (not e.unloading or draft.reserved.get(e.key) == model)
     ]
 
 
--- a/peridotdock/decisions/poison.py
+++ b/peridotdock/decisions/poison.py
@@ -12,7 +12,7 @@
 # Ends of endpoints from which on a request is to blame. Two may be chance: a request that was at an
 # endpoint that failed is sent to another, which may fail as well. At each end an engine loses all
 # it holds and every stream on it, so no more are waited for than it takes to be sure.
-FATAL_ENDS = 3
+MIN_CRASHES = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     doubtful: frozenset[str]
 
 
-def find_poison(ends: Iterable[frozenset[str]]) -> Verdict:
+def find_poison(crashes: Iterable[frozenset[str]]) -> Verdict:
     """Return the requests that explain why endpoints ended.
 
     ``ends`` gives for each endpoint that ended the requests that it had just begun. The request at
@@ -31,13 +31,13 @@
     equally many are blocked together, and are in doubt where no end has just one of them: one more
     end, or an answer, tells them apart.
     """
-    unexplained = list(ends)
+    unexplained = list(crashes)
     blocked: set[str] = set()
     doubtful: set[str] = set()
     while True:
         counts = Counter(content for end in unexplained for content in end)
         most = max(counts.values(), default=0)
-        if most < FATAL_ENDS:
+        if most < MIN_CRASHES:
             return Verdict(frozenset(blocked), frozenset(doubtful))
         blamed = {content for content, count in counts.items() if count == most}
         alone = [end & blamed for end in unexplained if len(end & blamed) == 1]
--- a/peridotdock/decisions/quotas.py
+++ b/peridotdock/decisions/quotas.py
@@ -18,21 +18,21 @@
 LOW_SHARE = 0.75
 # Least size of a bucket, in seconds of its rate: a quota without a burst still lets requests of one
 # moment pass.
-LEAST_ROOM_SECONDS = 0.25
+MIN_CAPACITY_SECONDS = 0.25
 # Shares of what operators let a quota be passed by: for a bucket's size, as two that count the same
 # requests do so some milliseconds apart; for what is in it when all counts were lost; and for hosts
 # that are gone for good but may be cut off.
-ROOM_SHARE = 0.25
+CAPACITY_SHARE = 0.25
 START_SHARE = 0.5
 GONE_SHARE = 0.25
 # Shortest and longest time, in seconds, after which a caller over its quota may come back.
-SHORTEST_WAIT = 0.1
-LONGEST_WAIT = 10.0
+MIN_WAIT_SECONDS = 0.1
+MAX_WAIT_SECONDS = 10.0
 # Share of the rate in units, from which on what a host served is told again.
-TELL_SHARE = 0.02
+REPORT_SHARE = 0.02
 
 # Seconds after which a host's word on what it served since a hub's is too old to be charged again.
-FRESH_SECONDS = 2.0
+MAX_USAGE_AGE_SECONDS = 2.0
 
 Units = dict[str, int]
 
@@ -49,14 +49,14 @@
         """Return the units that a window may hold beyond its quota."""
         return self.over * (quota.rate * self.window + quota.burst) + self.units
 
-    def room(self, quota: Quota) -> float:
+    def capacity(self, quota: Quota) -> float:
         """Return the units that a full bucket holds."""
-        burst = max(quota.burst, quota.rate * LEAST_ROOM_SECONDS)
-        return burst + ROOM_SHARE * self.excess(quota)
+        burst = max(quota.burst, quota.rate * MIN_CAPACITY_SECONDS)
+        return burst + CAPACITY_SHARE * self.excess(quota)
 
     def start(self, quota: Quota) -> float:
         """Return the units in a bucket where what was used before is not known."""
-        return min(self.room(quota), START_SHARE * self.excess(quota))
+        return min(self.capacity(quota), START_SHARE * self.excess(quota))
 
 
 def host_share(reached: int, known: int, over: float) -> float:
@@ -101,7 +101,7 @@
             self._buckets[name].level -= cost
             return 0.0
         wait = (cost / 2 - level) / (quota.rate * share)
-        return min(LONGEST_WAIT, max(SHORTEST_WAIT, wait))
+        return min(MAX_WAIT_SECONDS, max(MIN_WAIT_SECONDS, wait))
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,20 +121,20 @@
     def __init__(self, tolerance: Tolerance) -> None:
         self._low: Mapping[str, int] | None = None
         self._totals: dict[str, float] = {}
-        self._heard: dict[str, float] = {}
-        self._told: dict[str, float] = {}
-        self._alone = Buckets(tolerance.start, tolerance.start)
+        self._acknowledged: dict[str, float] = {}
+        self._reported: dict[str, float] = {}
+        self._local = Buckets(tolerance.start, tolerance.start)
 
-    def hear(self, low: Mapping[str, int] | None) -> None:
+    def update_low(self, low: Mapping[str, int] | None) -> None:
         """Take the hub's word on the buckets that are low; None where it has said nothing yet.
 
         Each word is an object of its own, also where it says the same again.
         """
         if low is not self._low and low is not None:
-            self._heard = dict(self._totals)
+            self._acknowledged = dict(self._totals)
         self._low = low
 
-    def must_ask(self, name: str) -> bool:
+    def needs_hub(self, name: str) -> bool:
         """Tell whether a workspace's next request needs the hub's word."""
         return self._low is None or name in self._low
 
@@ -142,9 +142,9 @@
         """Count a request that is served without the hub's word; a negative cost takes it back."""
         self._totals[name] = self._totals.get(name, 0.0) + cost
 
-    def take_alone(self, name: str, quota: Quota, cost: float, hosts: int, now: float) -> float:
+    def take_local(self, name: str, quota: Quota, cost: float, hosts: int, now: float) -> float:
         """Serve by this host's own share while no hub answers; return 0, or seconds to wait."""
-        wait = self._alone.take(name, quota, cost, 1 / max(1, hosts), now)
+        wait = self._local.take(name, quota, cost, 1 / max(1, hosts), now)
         if wait == 0:
             self.count(name, cost)
         return wait
@@ -153,18 +153,18 @@
         """Return what to tell the hub, None where it has changed too little."""
         if not any(self._differs(name, quota) for name, quota in quotas.items()):
             return None
-        self._told = dict(self._totals)
+        self._reported = dict(self._totals)
         totals = {name: round(units) for name, units in self._totals.items()}
         since = {
-            name: round(units - self._heard.get(name, 0.0))
+            name: round(units - self._acknowledged.get(name, 0.0))
             for name, units in self._totals.items()
-            if units != self._heard.get(name, 0.0)
+            if units != self._acknowledged.get(name, 0.0)
         }
         return Usage(totals, since)
 
     def _differs(self, name: str, quota: Quota) -> bool:
-        change = self._totals.get(name, 0.0) - self._told.get(name, 0.0)
-        return abs(change) >= TELL_SHARE * quota.rate
+        change = self._totals.get(name, 0.0) - self._reported.get(name, 0.0)
+        return abs(change) >= REPORT_SHARE * quota.rate
 
 
 class HubQuotas:
@@ -172,7 +172,7 @@
 
     def __init__(self, tolerance: Tolerance) -> None:
         self._tolerance = tolerance
-        self._buckets = Buckets(tolerance.room, tolerance.start)
+        self._buckets = Buckets(tolerance.capacity, tolerance.start)
         self._seen: dict[str, tuple[int, Units]] = {}
 
     def start(
@@ -184,12 +184,12 @@
         """
         tolerance = self._tolerance
         self._seen = {}
-        first = tolerance.start if low is None else tolerance.room
-        self._buckets = Buckets(tolerance.room, first)
+        first = tolerance.start if low is None else tolerance.capacity
+        self._buckets = Buckets(tolerance.capacity, first)
         for name in quotas.keys() & (low or {}).keys():
             self._buckets.start(name, low[name], now)
 
-    def note_usage(
+    def charge_usage(
         self,
         host: str,
         epoch: int,
@@ -206,7 +206,7 @@
         before = self._seen.get(host)
         if before is None:
             # What it served before the last hub's word was charged by that hub.
-            more = dict(usage.since) if age < FRESH_SECONDS else {}
+            more = dict(usage.since) if age < MAX_USAGE_AGE_SECONDS else {}
         elif before[0] != epoch:
             more = dict(usage.totals)
         else:
@@ -225,7 +225,7 @@
         found = {}
         for name, quota in quotas.items():
             level = self._buckets.level(name, quota, share, now)
-            full = self._tolerance.room(quota) * share
+            full = self._tolerance.capacity(quota) * share
             if level < LOW_SHARE * full:
                 step = max(1.0, full / 20)
                 found[name] = round(level / step) * round(step)
--- a/peridotdock/decisions/allowance.py
+++ b/peridotdock/decisions/retry_budget.py
@@ -9,25 +9,25 @@
 
 # Share of the window's requests that is left unused: requests and repeats of one moment are
 # counted at the endpoint some milliseconds apart.
-HEADROOM = 0.9
+USABLE_SHARE = 0.9
 # The fixed number is divided among so many hosts at least: one that has just started knows of few.
-FEWEST_HOSTS = 8
+MIN_HOSTS = 8
 
 
-class RetryAllowance:
+class RetryBudget:
     """Repeats that this host may still send to one service. Times are monotonic seconds.
 
     A host that has started again, at ``began``, has forgotten what it sent before. For one window
     it leaves the fixed number alone, so that hosts that start again together keep the bound.
     """
 
-    def __init__(self, share: float, extra: float, window: float, began: float = float("-inf")):
-        self._extra_from = began + window
+    def __init__(self, share: float, extra: float, window: float, started: float = float("-inf")):
+        self._extra_from = started + window
         self._share = share
         self._extra = extra
         self._window = window
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def count_request(self, now: float) -> None:
         """Count a request that a caller sent."""
@@ -36,19 +36,19 @@
 
     def take(self, now: float, hosts: int) -> bool:
         """Take a repeat; false when there is none left. ``hosts`` share the fixed number."""
-        if not self.has_left(now, hosts):
+        if not self.available(now, hosts):
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def has_left(self, now: float, hosts: int) -> bool:
+    def available(self, now: float, hosts: int) -> bool:
         """Tell whether there is a repeat left."""
         self._trim(now)
         extra = self._extra if now >= self._extra_from else 0.0
-        allowed = self._share * len(self._requests) + extra / max(FEWEST_HOSTS, hosts)
-        return len(self._repeats) + 1 <= allowed * HEADROOM
+        allowed = self._share * len(self._requests) + extra / max(MIN_HOSTS, hosts)
+        return len(self._retries) + 1 <= allowed * USABLE_SHARE
 
     def _trim(self, now: float) -> None:
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= now - self._window:
                 times.popleft()
--- a/peridotdock/decisions/waiting.py
+++ b/peridotdock/decisions/waiting.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass
 
 # Seconds from a request's wish to an order's beginning: word to the host that orders, and back.
-ORDER_DELAY = 0.3
+ORDER_DELAY_SECONDS = 0.3
 # Seconds that an adapter takes, order included, on a good day: ten for its load and the way there.
-ADAPTER_EXPECTED = 0.3
+ADAPTER_LOAD_SECONDS = 0.3
 # Seconds of a request's time that must be left when the model is there, to read its prompt.
-LEAST_LEFT = 0.4
+MIN_TIME_LEFT_SECONDS = 0.4
 # Share of the time left that a wait without any word may take, and its longest, in seconds: a host
 # that orders may just have been lost, and another takes over within six.
-BLIND_SHARE = 0.6
-BLIND_SECONDS = 7.0
+UNKNOWN_WAIT_SHARE = 0.6
+MAX_UNKNOWN_WAIT_SECONDS = 7.0
 # Longest and shortest time after which a refused caller is asked to come back, in seconds.
-LONGEST_RETRY = 5.0
-SHORTEST_RETRY = 0.2
+MAX_RETRY_SECONDS = 5.0
+MIN_RETRY_SECONDS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     how long one takes, 0 where the model is there and only an adapter is missing.
     """
 
-    left: float
-    coming: float | None
-    load: float
+    time_left: float
+    ready_in: float | None
+    load_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,13 +43,20 @@
     retry_after: float
 
 
-def decide(absence: Absence) -> Wait:
+def decide_wait(absence: Absence) -> Wait:
     """Return whether to wait for what is missing."""
-    expected = absence.coming
+    expected = absence.ready_in
     if expected is None:
-        expected = absence.load + ORDER_DELAY if absence.load else ADAPTER_EXPECTED
-    retry = min(LONGEST_RETRY, max(SHORTEST_RETRY, expected))
-    if expected + LEAST_LEFT > absence.left:
+        expected = (
+            absence.load_seconds + ORDER_DELAY_SECONDS
+            if absence.load_seconds
+            else ADAPTER_LOAD_SECONDS
+        )
+    retry = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, expected))
+    if expected + MIN_TIME_LEFT_SECONDS > absence.time_left:
         return Wait(0.0, retry)
-    longest = max(expected + ORDER_DELAY, min(BLIND_SECONDS, absence.left * BLIND_SHARE))
-    return Wait(min(absence.left - LEAST_LEFT, longest), retry)
+    longest = max(
+        expected + ORDER_DELAY_SECONDS,
+        min(MAX_UNKNOWN_WAIT_SECONDS, absence.time_left * UNKNOWN_WAIT_SHARE),
+    )
+    return Wait(min(absence.time_left - MIN_TIME_LEFT_SECONDS, longest), retry)
--- a/peridotdock/relay/absent.py
+++ b/peridotdock/relay/absent.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from peridotdock.context import Context
-from peridotdock.decisions.waiting import Absence, Wait, decide
+from peridotdock.decisions.waiting import Absence, Wait, decide_wait
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.asks import ModelWish, RelayAsk
@@ -37,12 +37,12 @@
         """Wait until the request can be sent; the failure says why it can't be."""
         wish = ask.head.wish
         absence = self._describe(ask, service, wish)
-        found = decide(absence)
+        found = decide_wait(absence)
         item = name_item(service, wish)
         self._note(ask, item, absence, found)
         self._enter(item)
         refusal: Failure | None = Failure(
-            Kind.NO_ENDPOINT, f"no copy within {absence.left:.1f} s", found.retry_after
+            Kind.NO_ENDPOINT, f"no copy within {absence.time_left:.1f} s", found.retry_after
         )
         try:
             if found.seconds > 0:
@@ -57,13 +57,13 @@
 
     def _note(self, ask: RelayAsk, item: str, absence: Absence, found: Wait) -> None:
         """Log whether the request waits, and what was known of what it waits for."""
-        coming = "unknown" if absence.coming is None else f"in {absence.coming:.2f} s"
+        coming = "unknown" if absence.ready_in is None else f"in {absence.ready_in:.2f} s"
         self._ctx.timeline.add(
             "waits" if found.seconds > 0 else "waits_not",
             request=ask.id,
             item=item,
-            detail=f"{absence.left:.2f} s left, coming {coming}, "
-            f"a load takes {absence.load:.2f} s, up to {found.seconds:.2f} s",
+            detail=f"{absence.time_left:.2f} s left, coming {coming}, "
+            f"a load takes {absence.load_seconds:.2f} s, up to {found.seconds:.2f} s",
         )
 
     async def _until(
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from peridotdock.context import Context
-from peridotdock.decisions.admission import judge_wait
+from peridotdock.decisions.admission import check_wait
 from peridotdock.decisions.choice import Candidate, Prediction, choose, predict
-from peridotdock.decisions.overload import judge_send, retry_after
+from peridotdock.decisions.overload import check_send, retry_after
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.asks import RelayAsk
 from peridotdock.relay.caller import CallerEnd
@@ -56,7 +56,7 @@
         if failed(found):
             return found
         left = ask.deadline - self._ctx.clock.monotonic()
-        trouble = judge_send(left, found.seconds, self._turns.usual())
+        trouble = check_send(left, found.seconds, self._turns.usual())
         if trouble is not None:
             return Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
         return found
@@ -74,10 +74,10 @@
     ) -> Granted | Failure | None:
         """Ask when a prompt may be sent and to whom; None where this host is to choose."""
         candidates = self._candidates(ask, progress)
-        awake = [row for row in candidates if not row.rest]
+        awake = [row for row in candidates if not row.backoff]
         if ask.head.wish is None or not awake:
             return None
-        avoid = find_suspects(awake) | {row.key for row in candidates if row.rest}
+        avoid = find_suspects(awake) | {row.key for row in candidates if row.backoff}
         if candidates[0].key not in progress.avoid:
             avoid |= progress.avoid
         return await self._grants.ask(ask, progress.service, frozenset(avoid), caller)
@@ -92,7 +92,7 @@
             return None
         work = self._fleet.work(progress.service, wish)
         row = self._fleet.candidates_known([state], wish, frozenset(), "")[0]
-        row = replace(row, ahead=granted.ahead / work.per_token)
+        row = replace(row, queued_tokens=granted.ahead / work.seconds_per_token)
         return Prediction(row, predict(row, work), granted=True)
 
     async def _choose_alone(
@@ -104,14 +104,14 @@
         """
         while not caller.gone():
             rows = self._candidates(ask, progress)
-            open_ones = [row for row in rows if not row.opens_in]
+            open_ones = [row for row in rows if not row.available_in]
             if rows and not open_ones:
                 found = await self._waits.until_open(ask, caller, progress, rows)
                 if found is None:
                     continue
                 return found
             found = self._choose_among(open_ones, ask, progress)
-            if failed(found) or not found.candidate.limited:
+            if failed(found) or not found.candidate.rate_limited:
                 return found
             permit = await self._permits.ask(self._fleet.states[found.candidate.key], caller=caller)
             if permit.given:
@@ -127,7 +127,7 @@
         if found is None:
             return Failure(Kind.NO_ENDPOINT, progress.service, ABSENT_RETRY_SECONDS)
         stays = ask.first_by - self._ctx.clock.monotonic()
-        crowd = judge_wait(found, work, stays, ask.rank)
+        crowd = check_wait(found, work, stays, ask.rank)
         if crowd is None or progress.maybe_ran:
             return found
         reason = f"a wait of {crowd.wait:.2f} s, {crowd.allowed:.2f} allowed"
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -6,8 +6,13 @@
 
 from peridotdock.blocklist import EndpointStart
 from peridotdock.clock import Clock
-from peridotdock.decisions.choice import STEP_SECONDS, Candidate, Work, trust_preferred
-from peridotdock.decisions.permits import permit_gap
+from peridotdock.decisions.choice import (
+    STEP_SECONDS,
+    Candidate,
+    RequestCost,
+    estimate_cached_tokens,
+)
+from peridotdock.decisions.permits import permit_interval
 from peridotdock.deployment import Model
 from peridotdock.relay.asks import EndpointEntry, ModelWish
 from peridotdock.relay.endpoint import (
@@ -111,7 +116,7 @@
         """Return the endpoints of a service that take new work and hold what is wished for."""
         now = self._clock.monotonic()
         rows = self.by_service.get(service, ())
-        found = [s for s in rows if not s.leaving and not s.health.closed(now)]
+        found = [s for s in rows if not s.leaving and not s.health.absent(now)]
         if wish is None:
             return found
         return [state for state in found if state.holds(wish, now)]
@@ -167,14 +172,14 @@
         """Wait until the endpoints or what they hold have changed."""
         await asyncio.shield(self._change)
 
-    def work(self, service: str, wish: ModelWish | None) -> Work:
+    def work(self, service: str, wish: ModelWish | None) -> RequestCost:
         """Return what a request asks of an endpoint, by what was measured so far."""
         seconds = self._service.get(service, FIRST_GUESS_SERVICE)
         if wish is None:
-            return Work(0, 0, 0.0, seconds)
+            return RequestCost(0, 0, 0.0, seconds)
         shared = count_shared(wish)
         per_token = self._per_token.get(wish.model, FIRST_GUESS_PER_TOKEN)
-        return Work(max(1, wish.prompt_tokens), shared, per_token, seconds)
+        return RequestCost(max(1, wish.prompt_tokens), shared, per_token, seconds)
 
     def event_seconds(self, service: str) -> float | None:
         """Return the time between two events of a stream while nothing is read, None if unknown."""
@@ -200,7 +205,8 @@
         rows = [self._look(state, wish, state.key == favourite, now, here) for state in open_ones]
         rests = [max(0.0, state.rests_until - now) for state in open_ones]
         return [
-            replace(row, rest=rest) if rest else row for row, rest in zip(rows, rests, strict=True)
+            replace(row, backoff=rest) if rest else row
+            for row, rest in zip(rows, rests, strict=True)
         ]
 
     def candidates_known(
@@ -222,8 +228,8 @@
             for state in states
             if state.key not in avoid
         ]
-        most = max((row.cached for row in rows), default=0)
-        return [replace(row, preferred=0 < row.cached == most) for row in rows]
+        most = max((row.cached_tokens for row in rows), default=0)
+        return [replace(row, preferred=0 < row.cached_tokens == most) for row in rows]
 
     def _look(
         self,
@@ -236,19 +242,19 @@
         running, ahead = state.load(now)
         cached = state.cached(wish) if wish else 0
         if preferred:
-            cached = trust_preferred(cached, count_shared(wish))
+            cached = estimate_cached_tokens(cached, count_shared(wish))
         return Candidate(
             key=state.key,
-            ahead=ahead,
+            queued_tokens=ahead,
             running=running,
             slots=state.entry.slots,
-            cached=cached,
+            cached_tokens=cached,
             preferred=preferred,
             slowness=state.health.slowness(now),
-            near=state.entry.domain == domain,
+            same_domain=state.entry.domain == domain,
             suspect=state.health.suspect(now),
             permit_wait=max(0.0, state.permit_from - now) if state.limited else 0.0,
-            permit_gap=permit_gap(state.limit.rate),
+            permit_interval=permit_interval(state.limit.rate),
         )
 
     def began(
@@ -285,7 +291,7 @@
             reading = now - flight.began - STEP_SECONDS
             found = max(LEAST_PER_TOKEN, reading / flight.tokens)
             usual = self._per_token.setdefault(wish.model, found)
-            state.health.measured(found / usual, now)
+            state.health.record_slowness(found / usual, now)
             # Other requests make a first token later and never sooner, so the lower times count.
             gain = SLOWER_GAIN if found > usual else FASTER_GAIN
             self._per_token[wish.model] = usual + gain * (min(found, 2 * usual) - usual)
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -11,11 +11,11 @@
 from peridotdock.clients.tables import TableChanges, Tables, TableView
 from peridotdock.context import Context
 from peridotdock.decisions.freshness import (
-    LEAST_BOUND,
-    MOST_AGAIN_SECONDS,
+    MIN_BOUND_SECONDS,
+    MAX_RETRY_SECONDS,
     ViewLimits,
-    share_out,
-    wait_after,
+    divide_bound,
+    retry_delay,
 )
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.frames import inflate_rows
@@ -61,7 +61,7 @@
         self.table = table
         self._take = take
         self._pause = pause
-        self.limits = limits or share_out(LEAST_BOUND)
+        self.limits = limits or divide_bound(MIN_BOUND_SECONDS)
         self._version: int | None = None
         self._held: asyncio.Future | None = None
         self._asking = False
@@ -102,7 +102,7 @@
                 await self.step()
             except Exception as exc:
                 self._note_bad(exc)
-                await self._nap(MOST_AGAIN_SECONDS)
+                await self._nap(MAX_RETRY_SECONDS)
 
     async def step(self) -> None:
         """Read the table whole, or wait for its next change; rest while another host reads it."""
@@ -250,7 +250,7 @@
             self.ask_hosts(self._version)
         # With jitter, so that hosts that waited out an outage together don't come back in step.
         lost = self._ctx.clock.monotonic() - began >= self.limits.hold
-        await self._nap(wait_after(self._losses, lost) * (0.5 + self._ctx.rng.random()))
+        await self._nap(retry_delay(self._losses, lost) * (0.5 + self._ctx.rng.random()))
 
     def _regain(self, began: float, changed: bool) -> None:
         """Note how new the view is: an answer without changes may have been on its way since the
--- a/peridotdock/relay/front.py
+++ b/peridotdock/relay/front.py
@@ -6,8 +6,8 @@
 
 from peridotdock.answers import JSON, answer_reply
 from peridotdock.context import Context
-from peridotdock.decisions.choice import read_seconds
-from peridotdock.decisions.overload import Trouble, retry_after
+from peridotdock.decisions.choice import expected_prefill_seconds
+from peridotdock.decisions.overload import RefusalReason, retry_after
 from peridotdock.deployment import Deployment, Route
 from peridotdock.errors import Failure, Kind, Ran, failed
 from peridotdock.relay.absent import name_item
@@ -123,7 +123,7 @@
         """Count what a request asks of the engines, by model and adapter."""
         wish = ask.head.wish
         if wish is not None:
-            seconds = read_seconds(self._service.fleet.work(progress.service, wish))
+            seconds = expected_prefill_seconds(self._service.fleet.work(progress.service, wish))
             now = self._ctx.clock.monotonic()
             self._peers.meter.add(name_item(progress.service, wish), seconds, now)
 
@@ -139,7 +139,7 @@
         self.in_work -= 1
         caller.release()
 
-    def _turn_away(self, trouble: Trouble, attempt_id: str) -> Response:
+    def _turn_away(self, trouble: RefusalReason, attempt_id: str) -> Response:
         """Refuse a request of a host that takes nothing new, and free its connection."""
         failure = Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
         response = self._refuse(failure, attempt_id)
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -18,7 +18,7 @@
     PaceControl,
     PaceLimit,
     Pacer,
-    PromptAsk,
+    QueuedPrompt,
     limit_pace,
 )
 from peridotdock.deployment import Deployment
@@ -118,8 +118,8 @@
         if pacer is not None and pause is not None:
             limit = self.limit(service)
             now = self._ctx.clock.monotonic()
-            given = pacer.given(key, now, limit)
-            self._control(service).note_gap(now, gap, pause, given, limit)
+            given = pacer.scheduled_seconds(key, now, limit)
+            self._control(service).record_gap(now, gap, pause, given, limit)
 
     def take(self, host: str, frame: GrantWanted) -> None:
         """Take a host's prompt into the queue, and answer at once where it can be."""
@@ -131,11 +131,11 @@
         key = host, frame.number
         self._wanted[key] = Wanted(host, frame.number, frame.service, wish, frozenset(frame.avoid))
         work = self._fleet.work(frame.service, wish)
-        first = now + frame.spare / 1000 - work.tokens * work.per_token - WAY_SECONDS
+        first = now + frame.spare / 1000 - work.tokens * work.seconds_per_token - WAY_SECONDS
         item = name_wish(wish)
         stays = now + frame.stays / 1000
         pacer = self._pacers.setdefault(frame.service, Pacer(self._ctx.rng))
-        pacer.add(PromptAsk(key, item, work, frame.rank, first, stays, bool(frame.avoid)))
+        pacer.add(QueuedPrompt(key, item, work, frame.rank, first, stays, bool(frame.avoid)))
         self._pump(frame.service)
         if key in self._wanted:
             self._send(host, GrantFrame("grant", frame.number, "", 0))
@@ -167,8 +167,8 @@
     def _pump(self, service: str) -> None:
         now = self._ctx.clock.monotonic()
         pacer = self._pacers[service]
-        pacer.forget(self._fleet.states)
-        decided, again = pacer.pump(now, self.limit(service), self._look)
+        pacer.prune(self._fleet.states)
+        decided, again = pacer.dispatch(now, self.limit(service), self._look)
         for row in decided:
             self._answer(row)
         timer = self._timers.pop(service, None)
@@ -179,30 +179,30 @@
             self._timers[service] = loop.call_later(max(0.0, again - now), self._pump, service)
 
     def _answer(self, row: Grant | Denial) -> None:
-        wanted = self._wanted.pop(row.ask.id)
+        wanted = self._wanted.pop(row.prompt.id)
         if isinstance(row, Denial):
             frame = GrantFrame("grant", wanted.number, "", max(1, int(row.wait * 1000)))
         else:
-            key = row.found.candidate.key
+            key = row.prediction.candidate.key
             state = self._fleet.states.get(key)
             if state is not None:
                 state.remember(wanted.wish)
                 self.spend_permit(state)
-            ahead = row.found.candidate.ahead * row.ask.work.per_token
+            ahead = row.prediction.candidate.queued_tokens * row.prompt.work.seconds_per_token
             frame = GrantFrame("grant", wanted.number, key, 0, int(1000 * ahead))
         self._send(wanted.host, frame)
 
-    def _look(self, ask: PromptAsk) -> list[Candidate]:
+    def _look(self, ask: QueuedPrompt) -> list[Candidate]:
         wanted = self._wanted[ask.id]
         states = self._fleet.usable(wanted.service, wanted.wish)
         domain = self._find_domain(wanted.host)
         rows = self._fleet.candidates_known(states, wanted.wish, wanted.avoid, domain)
-        return [self._with_permit(row) if row.limited else row for row in rows]
+        return [self._with_permit(row) if row.rate_limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
         """Return an endpoint that has named a limit with when it may get a prompt."""
         wait, gap = self.find_permit(self._fleet.states[row.key])
-        return replace(row, permit_wait=wait, permit_gap=gap)
+        return replace(row, permit_wait=wait, permit_interval=gap)
 
 
 class Question:
--- a/peridotdock/relay/lag.py
+++ b/peridotdock/relay/lag.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from peridotdock.context import Context
-from peridotdock.decisions.overload import BEHIND_SECONDS, HostState, Trouble, judge_host
+from peridotdock.decisions.overload import BEHIND_SECONDS, HostState, RefusalReason, check_host
 from peridotdock.turns import Turns
 
 # Seconds between two looks, and between two log lines while a host stays behind.
@@ -67,7 +67,7 @@
         self._looked_at = ctx.clock.monotonic()
         self._line_at = float("-inf")
         self._behind_since: float | None = None
-        self.trouble: Trouble | None = None
+        self.trouble: RefusalReason | None = None
         self.on_change: Callable[[], None] = lambda: None
         self.descriptors: DescriptorCount | None = None
         ctx.metrics.loop_lag.set_function(turns.lag)
@@ -102,7 +102,7 @@
             self._behind_since = self._turns.long_since
         behind_for = 0.0 if self._behind_since is None else now - self._behind_since
         free = None if self.descriptors is None else self.descriptors.free
-        trouble = judge_host(HostState(lag, behind_for, free))
+        trouble = check_host(HostState(lag, behind_for, free))
         if trouble is not self.trouble:
             word = "host_ready" if trouble is None else "host_unready"
             self._ctx.timeline.add(word, "WARNING", detail=trouble or "")
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -14,7 +14,7 @@
 )
 from peridotdock.context import Context
 from peridotdock.decisions.draft import Demand, Step
-from peridotdock.decisions.loads import LoadRation
+from peridotdock.decisions.loads import LoadRateLimiter
 from peridotdock.decisions.permits import NO_WAIT, Permit
 from peridotdock.decisions.placing import make_plan
 from peridotdock.deployment import Deployment, EngineSpec, Service
@@ -84,7 +84,7 @@
         self._engines = engines
         self._leadership = leadership
         self._bounds = bounds
-        self._rations: dict[str, LoadRation] = {}
+        self._rations: dict[str, LoadRateLimiter] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._promises: dict[str, Promise] = {}
         self._late = LateOrders()
@@ -131,18 +131,20 @@
         for service in deployment.services.values():
             if service.engine is not None and self._term > 1:
                 ages = None if heard is None else heard.get(service.name, [])
-                self._ration(service).assume_used(self._ctx.clock.monotonic(), ages)
-        left = {name: row.left(self._ctx.clock.monotonic()) for name, row in self._rations.items()}
+                self._ration(service).take_over(self._ctx.clock.monotonic(), ages)
+        left = {
+            name: row.available(self._ctx.clock.monotonic()) for name, row in self._rations.items()
+        }
         self._ctx.timeline.add(
             "orders_begin",
             detail=f"term {self._term}, loads heard of {heard}, loads left {left}",
         )
 
-    def _ration(self, service: Service) -> LoadRation:
+    def _ration(self, service: Service) -> LoadRateLimiter:
         found = self._rations.get(service.name)
         if found is None:
             bounds = self._bounds
-            found = LoadRation(
+            found = LoadRateLimiter(
                 service.engine.loads_per_second, bounds.loads_window, bounds.loads_over
             )
             self._rations[service.name] = found
@@ -151,7 +153,9 @@
     def loads(self) -> dict[str, tuple[float, ...]]:
         """Return when each load that counts was begun, by service."""
         now = self._ctx.clock.monotonic()
-        return {name: begun for name, row in self._rations.items() if (begun := row.begun(now))}
+        return {
+            name: begun for name, row in self._rations.items() if (begun := row.start_times(now))
+        }
 
     def _follow_entries(self) -> None:
         states = self._fleet.states
@@ -211,13 +215,13 @@
         ration = self._ration(service)
         promised = self._promised(now)
         settled = self._settled(demand, now)
-        stream = self._fleet.work(service.name, None).service
+        stream = self._fleet.work(service.name, None).service_seconds
         heard = self._heard(now)
         for step in make_plan(
-            spec, views, demand, ration.left(now), promised, held_back, settled, stream, heard
+            spec, views, demand, ration.available(now), promised, held_back, settled, stream, heard
         ):
-            if step.room_for:
-                self._promises[step.engine] = Promise(step.room_for, now + PROMISE_SECONDS)
+            if step.evicted_for:
+                self._promises[step.engine] = Promise(step.evicted_for, now + PROMISE_SECONDS)
             record = self.records[step.engine]
             record.in_flight = True
             self._spawn(self._carry_out(record, service, spec, step))
@@ -229,7 +233,7 @@
 
     def _settled(self, demand: Mapping[str, Demand], now: float) -> bool:
         """Tell whether demand has been known for long enough to place by it alone."""
-        if not any(found.rate for found in demand.values()):
+        if not any(found.peak_rate for found in demand.values()):
             self._demand_since = None
         elif self._demand_since is None:
             self._demand_since = now
@@ -314,16 +318,16 @@
         begun = self._ctx.clock.monotonic()
         loads = step.action is Action.LOAD and not step.adapter
         if loads and model and seconds >= model.load:
-            self._ration(service).begin(begun)
+            self._ration(service).record(begun)
         try:
             engine = record.entry.incarnation
             if not await self._permitted(record) or not self._leadership.may_order(engine):
-                self._ration(service).take_back(begun)
+                self._ration(service).undo(begun)
                 return
             self._leadership.ordered(engine)
             outcome = await self._give(record, order)
             if outcome in NOT_DONE:
-                self._ration(service).take_back(begun)
+                self._ration(service).undo(begun)
             # Logged before the pauses that follow some answers, so that the line has its time.
             self._note(record, step, order, outcome)
             await self._settle(record, order, outcome, seconds)
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -308,7 +308,7 @@
         down = [
             key
             for key, state in self._fleet.states.items()
-            if state.health.closed(now) or state.lacks_unheard(now)
+            if state.health.absent(now) or state.lacks_unheard(now)
         ]
         self._tell("wants", WantsFact(dict(self.waiting), down, self.queued()))
 
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -4,7 +4,13 @@
 """
 
 from peridotdock.context import Context
-from peridotdock.decisions.permits import NO_WAIT, PROMISE_SECONDS, Permit, Permits, permit_gap
+from peridotdock.decisions.permits import (
+    NO_WAIT,
+    MAX_ADVANCE_SECONDS,
+    Permit,
+    Permits,
+    permit_interval,
+)
 from peridotdock.relay.caller import CallerEnd
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.fleet import RelayFleet
@@ -33,7 +39,7 @@
     def look(self) -> None:
         """Forget endpoints without a limit; as the hub, begin to count for those that have one."""
         states = self._fleet.states.values()
-        self._permits.forget({state.start for state in states if state.limited})
+        self._permits.prune({state.start for state in states if state.limited})
         if self._peers.is_hub():
             for state in states:
                 self.waits(state)
@@ -52,7 +58,7 @@
             return Permit(False, state.rests_until - now)
         if not state.limited:
             return NO_WAIT
-        if state.permit_from > now + min(stays, PROMISE_SECONDS):
+        if state.permit_from > now + min(stays, MAX_ADVANCE_SECONDS):
             return Permit(False, state.permit_from - now)
         hub = self._peers.hub()
         permit = (
@@ -119,7 +125,7 @@
             return 0.0, 0.0
         part = self._part(state)
         wait = self._permits.wait(state.start, part, self._ctx.clock.monotonic())
-        return wait, permit_gap(part)
+        return wait, permit_interval(part)
 
     def _part(self, state: EndpointState) -> float:
         """Return the part of a limit that this hub may give."""
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -92,7 +92,7 @@
         """Return 0 for a request that may pass, else the seconds until it may come back."""
         name, quota, cost = charge.name, charge.quota, charge.cost
         hub = self._hear_hub()
-        if not self._own.must_ask(name):
+        if not self._own.needs_hub(name):
             self._own.count(name, cost)
             return 0.0
         now = self._ctx.clock.monotonic()
@@ -103,13 +103,13 @@
             return wait
         if not caller.gone():
             self._note_silence(hub, name)
-        return self._own.take_alone(name, quota, cost, len(self._peers.known_hosts()), now)
+        return self._own.take_local(name, quota, cost, len(self._peers.known_hosts()), now)
 
     def _hear_hub(self) -> str:
         """Take in the hub's last word, and return which host it is."""
         hub = self._peers.hub()
         word = self._peers.board.get(hub, "quotas")
-        self._own.hear(word.fact.low if word is not None else None)
+        self._own.update_low(word.fact.low if word is not None else None)
         return hub
 
     async def _ask(self, hub: str, name: str, cost: float, caller: CallerEnd) -> float | None:
@@ -168,7 +168,7 @@
         for origin, known in self._peers.board.on("usage").items():
             row = Usage(known.fact.totals, known.fact.since)
             age = now - known.at
-            hub.note_usage(origin, known.entry.epoch, row, self._quotas, share, now, age)
+            hub.charge_usage(origin, known.entry.epoch, row, self._quotas, share, now, age)
         self._tell_low(hub.low(self._quotas, share, now))
 
     def _as_hub(self) -> HubQuotas:
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -168,15 +168,15 @@
             domain=self.entry.domain,
             models=models,
             loading=frozenset(self.loading),
-            dropping=frozenset(self.dropping),
+            unloading=frozenset(self.dropping),
             in_memory=self.entry.in_memory,
             on_disk=self.entry.on_disk,
             busy=bool(self.loading or self.unsure) or now < self.quiet_until,
-            ahead=self.pressure.value,
-            freeing=bool(self.freeing),
-            late=late,
+            queued_tokens=self.pressure.value,
+            freeing_adapter=bool(self.freeing),
+            unanswered=late,
             running=running,
-            settling=frozenset(
+            recently_loaded=frozenset(
                 name for name, at in self.loaded_at.items() if now - at < SETTLING_SECONDS
             ),
         )
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -6,7 +6,7 @@
 
 from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened, read_all
 from peridotdock.clock import Clock
-from peridotdock.decisions.overload import connect_seconds
+from peridotdock.decisions.overload import connect_timeout
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.asks import AnswerHead, RelayAsk, SendOptions
 from peridotdock.relay.caller import CallerEnd
@@ -109,7 +109,7 @@
             self._wire.write_send(ask, options),
             ask.body,
             once=True,
-            connect=connect_seconds(left),
+            connect=connect_timeout(left),
             wanted=state.takes_work,
         )
         sent = self._clock.monotonic()
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -5,10 +5,10 @@
 from peridotdock.blocklist import Blocklist
 from peridotdock.clients.endpoint import HttpEndpoints, read_all
 from peridotdock.context import Context
-from peridotdock.decisions.allowance import RetryAllowance
-from peridotdock.decisions.choice import Prediction, unread
+from peridotdock.decisions.retry_budget import RetryBudget
+from peridotdock.decisions.choice import Prediction, uncached_tokens
 from peridotdock.decisions.health import is_overdue
-from peridotdock.decisions.overload import TURNS_TO_ANSWER
+from peridotdock.decisions.overload import ITERATIONS_TO_ANSWER
 from peridotdock.deployment import Route
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.absent import name_item
@@ -56,19 +56,19 @@
         self.blocklist = blocklist
         self.sender = Sender(wire, endpoints, ctx.clock)
         self._bounds = bounds
-        self._allowances: dict[str, RetryAllowance] = {}
+        self._allowances: dict[str, RetryBudget] = {}
         self._turns = find_turns()
         self._began = float("-inf") if first_start else ctx.clock.monotonic()
         self.hosts = 1
         self.on_down: Callable[[str], None] = lambda key: None
         self.on_gap: Callable[[str, str, float], None] = lambda service, key, seconds: None
 
-    def _allowance(self, service: str) -> RetryAllowance:
+    def _allowance(self, service: str) -> RetryBudget:
         bounds = self._bounds
         found = self._allowances.get(service)
         if found is None:
             share, extra, window = bounds.retry_share, bounds.retry_extra, bounds.retry_window
-            found = RetryAllowance(share, extra, window, self._began)
+            found = RetryBudget(share, extra, window, self._began)
             self._allowances[service] = found
         return found
 
@@ -150,7 +150,7 @@
         if not ask.route.resumable or progress.maybe_ran >= ask.route.max_sends:
             return False
         now = self.ctx.clock.monotonic()
-        if not self._allowance(progress.service).has_left(now, self.hosts):
+        if not self._allowance(progress.service).available(now, self.hosts):
             return False
         states = self.fleet.usable(progress.service, ask.head.wish)
         return any(other is not state and not other.health.suspect(now) for other in states)
@@ -166,8 +166,10 @@
         self.ctx.metrics.sends.labels(str(progress.sends)).inc()
         self._note_send(ask, progress, place)
         wish = ask.head.wish
-        tokens = unread(place.candidate, self.fleet.work(progress.service, wish)) if wish else 0
-        alone = place.candidate.ahead == 0 if place.granted else None
+        tokens = (
+            uncached_tokens(place.candidate, self.fleet.work(progress.service, wish)) if wish else 0
+        )
+        alone = place.candidate.queued_tokens == 0 if place.granted else None
         self.fleet.began(state, ask.id, wish, tokens, alone)
         began = self.ctx.clock.monotonic()
         streaming = False
@@ -199,8 +201,8 @@
             endpoint=chosen.key,
             item=name_item(progress.service, wish),
             detail=f"send {progress.sends}, expected in {place.seconds:.3f} s, "
-            f"{chosen.running} running, {chosen.ahead} tokens ahead, "
-            f"{wish.prompt_tokens if wish else 0} to read, {chosen.cached} cached"
+            f"{chosen.running} running, {chosen.queued_tokens} tokens ahead, "
+            f"{wish.prompt_tokens if wish else 0} to read, {chosen.cached_tokens} cached"
             f"{', preferred' if chosen.preferred else ''}, {chosen.slowness:.2f} times slower",
         )
 
@@ -268,7 +270,7 @@
         if not failed(found):
             erred = isinstance(found, Whole) and found.erred
             progress.maybe_ran += 1
-            state.health.erred(now) if erred else state.health.succeeded()
+            state.health.record_error(now) if erred else state.health.record_success()
             return
         progress.maybe_ran += found.may_have_run
         progress.refusals += found.kind in NOT_RUN
@@ -291,8 +293,8 @@
         if not failed(found) or found.kind is not Kind.DEADLINE or ask.head.wish is not None:
             return
         now = self.ctx.clock.monotonic()
-        if is_overdue(now - began, expected, TURNS_TO_ANSWER * self._turns.usual()):
-            state.health.overdue(now)
+        if is_overdue(now - began, expected, ITERATIONS_TO_ANSWER * self._turns.usual()):
+            state.health.record_overdue(now)
 
     def note_loss(
         self, ask: RelayAsk, state: EndpointState, found: Failure, streamed: float | None = None
@@ -303,17 +305,17 @@
         """
         now = self.ctx.clock.monotonic()
         if found.kind is Kind.ENDPOINT_REFUSED:
-            state.health.erred(now)
+            state.health.record_error(now)
         elif found.kind is Kind.ENDPOINT_LACKS and ask.head.wish is not None:
             state.note_lack(ask.head.wish, now)
         elif found.kind is Kind.ENDPOINT_LACKS:
             # A plain service lacks nothing: its address has been taken by another.
-            state.health.unreachable(now)
+            state.health.record_unreachable(now)
         elif found.kind is Kind.ENDPOINT_UNREACHABLE:
-            state.health.unreachable(now)
+            state.health.record_unreachable(now)
             self.on_down(state.key)
         elif found.kind in RETRY_KINDS:
-            state.health.lost(now)
+            state.health.record_loss(now)
         just_begun = streamed is None or streamed < STARTED_SECONDS
         if broke_off(found) and just_begun:
             self.blocklist.note_end(ask, state.start)
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -5,7 +5,7 @@
 
 from peridotdock.clients.tables import TableChanges, Tables, TableView
 from peridotdock.context import Context
-from peridotdock.decisions.freshness import share_out
+from peridotdock.decisions.freshness import divide_bound
 from peridotdock.frames import deflate_rows
 from peridotdock.relay.following import NEVER, Follower, Take
 from peridotdock.relay.peers import Peers
@@ -63,7 +63,7 @@
         pause: float | None = None,
     ) -> Follower:
         """Return the follower of a table, to be run; ``pause`` goes before the bound's share."""
-        limits = share_out(bound)
+        limits = divide_bound(bound)
         rest = limits.pause if pause is None else pause
         follower = Follower(self._ctx, self._tables, table, take, lambda: rest, limits)
         follower.reads = self._reads
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -62,22 +62,22 @@
 
         None tells that it is time to look again.
         """
-        row = min(rows, key=lambda row: row.opens_in)
+        row = min(rows, key=lambda row: row.available_in)
         seconds = predict(row, self._fleet.work(progress.service, ask.head.wish))
         stays = max(0.0, ask.first_by - self._ctx.clock.monotonic() - seconds)
-        if row.rest and self.is_leaving():
+        if row.backoff and self.is_leaving():
             # Other hosts may send there; this one may be gone before an answer is whole.
             permit = Permit(False, 0.0)
-        elif row.rest:
-            permit = Permit(row.opens_in <= stays, row.opens_in)
+        elif row.backoff:
+            permit = Permit(row.available_in <= stays, row.available_in)
         else:
             permit = await self._permits.ask(self._fleet.states[row.key], stays, caller)
         if not permit.given:
             reason = f"{len(rows)} endpoints take nothing now, the first in {permit.wait:.2f} s"
             wait = retry_after(permit.wait, self._ctx.rng.random)
             return Failure(Kind.OVERLOADED, reason, wait)
-        longest = LOOK_SECONDS if row.rest else permit.wait
+        longest = LOOK_SECONDS if row.backoff else permit.wait
         await asyncio.wait({caller.left}, timeout=min(permit.wait, longest))
         if caller.gone():
             return lose(State.ADMITTED, Loss.CALLER_GONE)
-        return None if row.rest else Prediction(row, seconds)
+        return None if row.backoff else Prediction(row, seconds)
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -7,26 +7,26 @@
 from nose2.tools import params
 
 from peridotdock.clients.engines import Action
-from peridotdock.decisions.allowance import RetryAllowance
-from peridotdock.decisions.choice import Candidate, Work, choose, predict
-from peridotdock.decisions.copies import CROWDED_TOKENS
+from peridotdock.decisions.retry_budget import RetryBudget
+from peridotdock.decisions.choice import Candidate, RequestCost, choose, predict
+from peridotdock.decisions.copies import OVERLOADED_TOKENS
 from peridotdock.decisions.draft import Demand, EngineView
-from peridotdock.decisions.health import FIRST_PAUSE, LONGEST_PAUSE, Health
-from peridotdock.decisions.loads import UNHEARD_LOADS, LoadRation
+from peridotdock.decisions.health import FIRST_PAUSE_SECONDS, MAX_PAUSE_SECONDS, Health
+from peridotdock.decisions.loads import UNREPORTED_LOADS, LoadRateLimiter
 from peridotdock.decisions.overload import (
     HostState,
-    Trouble,
-    judge_host,
-    judge_send,
+    RefusalReason,
+    check_host,
+    check_send,
     retry_after,
 )
 from peridotdock.decisions.placing import make_plan
-from peridotdock.decisions.waiting import Absence, decide
+from peridotdock.decisions.waiting import Absence, decide_wait
 from peridotdock.deployment import EngineSpec, Model
 
 IDLE = Candidate("a", 0, 0, 64, 0, False, 1.0, True)
-LONG = Work(9000, 6000, 0.00003, 0.05)
-PLAIN = Work(0, 0, 0.0, 0.05)
+LONG = RequestCost(9000, 6000, 0.00003, 0.05)
+PLAIN = RequestCost(0, 0, 0.0, 0.05)
 
 
 def pick(*candidates, work=LONG):
@@ -36,30 +36,45 @@
 
 class ChoiceTest(unittest.TestCase):
     @params(
-        ("kept prompt beats an idle engine", replace(IDLE, key="kept", cached=6000), IDLE, "kept"),
+        (
+            "kept prompt beats an idle engine",
+            replace(IDLE, key="kept", cached_tokens=6000),
+            IDLE,
+            "kept",
+        ),
         (
             "but not behind a longer queue than reading takes",
-            replace(IDLE, key="kept", cached=6000, ahead=20000),
+            replace(IDLE, key="kept", cached_tokens=6000, queued_tokens=20000),
             IDLE,
             "a",
         ),
         (
             "of equal ones the emptier, though it is farther",
-            replace(IDLE, key="full", running=3, slots=4, near=True),
+            replace(IDLE, key="full", running=3, slots=4, same_domain=True),
             replace(IDLE, running=1, slots=4),
             "a",
         ),
-        ("a slow one is left", replace(IDLE, key="slow", slowness=5.0, near=True), IDLE, "a"),
-        ("a suspect is left", replace(IDLE, key="bad", suspect=True, cached=9000), IDLE, "a"),
+        (
+            "a slow one is left",
+            replace(IDLE, key="slow", slowness=5.0, same_domain=True),
+            IDLE,
+            "a",
+        ),
+        (
+            "a suspect is left",
+            replace(IDLE, key="bad", suspect=True, cached_tokens=9000),
+            IDLE,
+            "a",
+        ),
         (
             "a full one is left",
-            replace(IDLE, key="full", running=640, cached=8000),
-            replace(IDLE, cached=7000),
+            replace(IDLE, key="full", running=640, cached_tokens=8000),
+            replace(IDLE, cached_tokens=7000),
             "a",
         ),
-        ("the near one of equals", replace(IDLE, key="far", near=False), IDLE, "a"),
+        ("the near one of equals", replace(IDLE, key="far", same_domain=False), IDLE, "a"),
     )
-    def test_the_soonest_answer_wins(self, name, one, other, expected):
+    def test_the_endpoint_predicted_to_answer_first_is_chosen(self, name, one, other, expected):
         self.assertEqual(expected, pick(one, other), name)
         self.assertEqual(expected, pick(other, one), name)
 
@@ -83,48 +98,48 @@
         """
         health, now, pauses = Health(), 0.0, []
         for _ in range(6):
-            health.lost(now)
+            health.record_loss(now)
             began = now
             while health.suspect(now):
                 now += 0.25
             pauses.append(now - began)
-        self.assertEqual([FIRST_PAUSE, 1.0, 2.0, LONGEST_PAUSE], pauses[:4])
-        self.assertEqual(LONGEST_PAUSE, max(pauses))
+        self.assertEqual([FIRST_PAUSE_SECONDS, 1.0, 2.0, MAX_PAUSE_SECONDS], pauses[:4])
+        self.assertEqual(MAX_PAUSE_SECONDS, max(pauses))
 
     def test_a_usual_share_of_failures_leaves_nothing_out(self):
         health = Health()
         for number in range(200):
-            health.erred(number) if number % 7 == 0 else health.succeeded()
+            health.record_error(number) if number % 7 == 0 else health.record_success()
             self.assertFalse(health.suspect(number))
 
     def test_only_what_could_not_be_reached_counts_as_absent(self):
         health = Health()
-        health.lost(0.0)
-        self.assertFalse(health.closed(0.1))
-        health.unreachable(0.1)
-        self.assertTrue(health.closed(0.2))
-        self.assertFalse(health.closed(60.0))
+        health.record_loss(0.0)
+        self.assertFalse(health.absent(0.1))
+        health.record_unreachable(0.1)
+        self.assertTrue(health.absent(0.2))
+        self.assertFalse(health.absent(60.0))
 
     def test_slowness_fades(self):
         health = Health()
         for _ in range(10):
-            health.measured(5.0, 0.0)
+            health.record_slowness(5.0, 0.0)
         self.assertGreater(health.slowness(0.0), 4.0)
         self.assertLess(health.slowness(20.0), 1.3)
 
 
-class AllowanceTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
     @params(1, 3, 9, 67, 350)
     def test_repeats_of_all_hosts_stay_within_the_bound(self, hosts):
         """A service in trouble gets more repeats than its operators allow, over all hosts."""
         share, extra, window = 0.2, 58, 10.0
-        allowances = [RetryAllowance(share, extra, window) for _ in range(hosts)]
+        budgets = [RetryBudget(share, extra, window) for _ in range(hosts)]
         repeats = []
         for step in range(400):
             now = step * 0.1
-            for allowance in allowances:
-                allowance.count_request(now)
-                if allowance.take(now, hosts):
+            for budget in budgets:
+                budget.count_request(now)
+                if budget.take(now, hosts):
                     repeats.append(now)
         for step in range(300):
             start = step * 0.1
@@ -136,7 +151,7 @@
         share, extra, window, hosts = 0.2, 172, 10.0, 60
         repeats, requests = 0, 0
         for began, first in ((-window, 0.0), (3.0, 3.0)):
-            rows = [RetryAllowance(share, extra, window, began) for _ in range(hosts)]
+            rows = [RetryBudget(share, extra, window, began) for _ in range(hosts)]
             for step in range(5):
                 for row in rows:
                     row.count_request(first + step * 0.1)
@@ -145,43 +160,43 @@
         self.assertLessEqual(repeats, share * requests + extra)
 
     def test_a_quiet_service_still_gets_a_few(self):
-        allowance = RetryAllowance(0.2, 58, 10.0)
-        self.assertTrue(allowance.take(0.0, 9))
+        budget = RetryBudget(0.2, 58, 10.0)
+        self.assertTrue(budget.take(0.0, 9))
 
 
-class LoadRationTest(unittest.TestCase):
+class LoadRateLimiterTest(unittest.TestCase):
     def test_loads_in_any_window_stay_within_the_bound(self):
-        ration, begun, now = LoadRation(1.1, 5.0, 1.1), [], 0.0
+        limiter, begun, now = LoadRateLimiter(1.1, 5.0, 1.1), [], 0.0
         for step in range(600):
             now = step * 0.1
-            while ration.left(now) > 0:
-                ration.begin(now)
+            while limiter.available(now) > 0:
+                limiter.record(now)
                 begun.append(now)
         for at in begun:
             self.assertLessEqual(sum(1 for b in begun if at <= b < at + 5.0), 1.1 * 5 * 1.1 + 3)
 
     def test_a_new_holder_assumes_the_window_used(self):
-        ration = LoadRation(1.1, 5.0, 1.1)
-        ration.assume_used(0.0, None)
-        self.assertEqual(1, ration.left(0.0))
-        self.assertGreater(ration.left(7.0), 1)
+        limiter = LoadRateLimiter(1.1, 5.0, 1.1)
+        limiter.take_over(0.0, None)
+        self.assertEqual(1, limiter.available(0.0))
+        self.assertGreater(limiter.available(7.0), 1)
 
-    def test_a_new_holder_goes_by_what_was_told(self):
+    def test_a_new_holder_goes_by_the_reported_loads(self):
         """A model that callers wait for is not loaded for six seconds after a change of holder."""
-        ration = LoadRation(1.1, 5.0, 1.1)
-        whole = ration.left(0.0)
-        ration.assume_used(10.0, [1.0, 5.5])
-        self.assertEqual(whole - 2 - UNHEARD_LOADS, ration.left(10.0))
-        self.assertEqual(whole - 1 - UNHEARD_LOADS, ration.left(11.0))
+        limiter = LoadRateLimiter(1.1, 5.0, 1.1)
+        whole = limiter.available(0.0)
+        limiter.take_over(10.0, [1.0, 5.5])
+        self.assertEqual(whole - 2 - UNREPORTED_LOADS, limiter.available(10.0))
+        self.assertEqual(whole - 1 - UNREPORTED_LOADS, limiter.available(11.0))
 
     def test_a_refused_load_does_not_count(self):
         """A busy model has no copy for six seconds, as loads tried at a busy engine counted."""
-        ration = LoadRation(1.1, 5.0, 1.1)
-        whole = ration.left(0.0)
+        limiter = LoadRateLimiter(1.1, 5.0, 1.1)
+        whole = limiter.available(0.0)
         for step in range(20):
-            ration.begin(step * 0.1)
-            ration.take_back(step * 0.1)
-        self.assertEqual(whole, ration.left(2.0))
+            limiter.record(step * 0.1)
+            limiter.undo(step * 0.1)
+        self.assertEqual(whole, limiter.available(2.0))
 
 
 class WaitingTest(unittest.TestCase):
@@ -193,9 +208,9 @@
         ("no time left", Absence(0.3, None, 0.0), False),
     )
     def test_waits_only_for_what_comes_in_time(self, name, absence, waits):
-        found = decide(absence)
+        found = decide_wait(absence)
         self.assertEqual(waits, found.seconds > 0, name)
-        self.assertLess(found.seconds, absence.left)
+        self.assertLess(found.seconds, absence.time_left)
         self.assertGreater(found.retry_after, 0)
 
 
@@ -221,42 +236,42 @@
     defaults = {
         "domain": "north",
         "loading": frozenset(),
-        "dropping": frozenset(),
+        "unloading": frozenset(),
         "in_memory": frozenset(),
         "on_disk": frozenset(),
         "busy": False,
-        "ahead": 0.0,
+        "queued_tokens": 0.0,
     }
     return EngineView(key=key, models=rows, **(defaults | more))
 
 
-def full_of_adapters(**more):
+def engine_full_of_adapters(**more):
     """An engine with no place for another adapter and no room for another model."""
     models = {"m0": frozenset({"a1", "a2", "a3", "a4"})}
     return engine("a", "m1", "m2", models=models, busy=False, **more)
 
 
-def plan(engines, demand, promised=None, held_back=(), loads=5):
-    steps = make_plan(SPEC, engines, demand, loads, promised or {}, held_back)
+def plan(engines, demand, reserved=None, excluded=(), loads=5):
+    steps = make_plan(SPEC, engines, demand, loads, reserved or {}, excluded)
     return [(s.engine, s.action.value, "/".join(filter(None, (s.model, s.adapter)))) for s in steps]
 
 
 class CountedModels(dict):
-    """What an engine holds, with a count of the looks at it."""
+    """What an engine holds, with a count of the scans of it."""
 
-    looks = 0
+    scans = 0
 
     def __contains__(self, name):
-        self.looks += 1
+        self.scans += 1
         return super().__contains__(name)
 
     def keys(self):
-        self.looks += 1
+        self.scans += 1
         return super().keys()
 
 
 class PlacingTest(unittest.TestCase):
-    def test_a_plan_looks_at_each_engine_a_few_times(self):
+    def test_a_plan_scans_each_engine_a_few_times(self):
         """Callers get their answers late whenever an order is given.
 
         At 64 engines and 74 models a plan took 50 ms of a host's processor, in which it reads no
@@ -266,10 +281,10 @@
         names = [f"m{number}" for number in range(74)]
         spec = replace(SPEC, models={name: replace(SPEC.models["m0"], name=name) for name in names})
         engines = [engine(f"e{n:02}", *names[n % 30 : n % 30 + 3]) for n in range(64)]
-        looks = [CountedModels(view.models) for view in engines]
-        engines = [replace(v, models=row) for v, row in zip(engines, looks, strict=True)]
+        scans = [CountedModels(view.models) for view in engines]
+        engines = [replace(v, models=row) for v, row in zip(engines, scans, strict=True)]
         make_plan(spec, engines, {name: Demand(0, 0.1) for name in names}, 5, {})
-        self.assertLessEqual(max(row.looks for row in looks), 4 * len(names))
+        self.assertLessEqual(max(row.scans for row in scans), 4 * len(names))
 
     @params(
         (
@@ -310,7 +325,7 @@
         ),
         (
             "the adapter asked for least makes room",
-            [full_of_adapters()],
+            [engine_full_of_adapters()],
             {
                 "m0/a5": Demand(1, 0.01),
                 "m0/a1": Demand(0, 0.05),
@@ -321,7 +336,7 @@
         ),
         (
             "one at a time: a place that is being freed is waited for",
-            [full_of_adapters(freeing=True), engine("b", "m1", "m2", "m3")],
+            [engine_full_of_adapters(freeing_adapter=True), engine("b", "m1", "m2", "m3")],
             {"m0/a5": Demand(1, 0.01)},
             [],
         ),
@@ -348,7 +363,7 @@
         rng = random.Random(7)
         for _ in range(300):
             held = rng.sample(NAMES, rng.randint(0, 3))
-            engines = [engine(str(n), *held, ahead=rng.random() * 20000) for n in range(3)]
+            engines = [engine(str(n), *held, queued_tokens=rng.random() * 20000) for n in range(3)]
             demand = {n: Demand(rng.randint(0, 2), rng.random()) for n in NAMES}
             for key, action, item in plan(engines, demand):
                 name, _, adapter = item.partition("/")
@@ -357,21 +372,21 @@
                     total = sum(SPEC.models[m].weights_mb for m in {*now.models, name})
                     self.assertLessEqual(total + SPEC.adapter_places, SPEC.weights_mb)
 
-    def test_a_crowded_model_takes_the_room_of_an_idle_one(self):
+    def test_an_overloaded_model_takes_the_room_of_an_idle_one(self):
         """Callers of two busy models wait seconds at one engine while the others idle.
 
         Both models became busy after a shift of demand and lie on the same engine, and last
         copies of idle models leave no room elsewhere.
         """
         on_disk = frozenset(NAMES)
-        busy = engine("a", "m0", "m1", ahead=CROWDED_TOKENS * 5, on_disk=on_disk)
+        busy = engine("a", "m0", "m1", queued_tokens=OVERLOADED_TOKENS * 5, on_disk=on_disk)
         idle = engine("b", "m2", "m3", models={"m9": frozenset()}, on_disk=on_disk)
         demand = {"m0": Demand(0, 0.6), "m1": Demand(0, 0.5)}
         full = replace(idle, models={**idle.models})
         spec = replace(SPEC, weights_mb=140.0)
         steps = make_plan(spec, [busy, full], demand, 5, {})
         self.assertEqual(("b", Action.UNLOAD), (steps[0].engine, steps[0].action))
-        calm = replace(busy, ahead=0.0)
+        calm = replace(busy, queued_tokens=0.0)
         little = {"m0": Demand(0, 0.3), "m1": Demand(0, 0.25)}
         self.assertEqual(
             [], [s for s in make_plan(spec, [calm, full], little, 5, {}) if not s.adapter]
@@ -396,7 +411,7 @@
         self.assertEqual(copied, bool(steps), name)
 
     @params((False, []), (True, [("a", "unload", "m0")]))
-    def test_busy_models_keep_their_copies_in_the_first_seconds(self, settled, expected):
+    def test_busy_models_keep_their_copies_in_the_first_seconds(self, demand_known, expected):
         """Callers of the busiest model are refused from the second second of traffic on.
 
         It had not been asked for yet when the first requests for others came, so its copies made
@@ -404,7 +419,7 @@
         """
         engines = [engine("a", "m0", "m1", "m2"), engine("b", "m0", "m1", "m2")]
         demand = {"m1": Demand(0, 0.3), "m2": Demand(0, 0.3)}
-        steps = make_plan(SPEC, engines, demand, 5, {}, settled=settled)
+        steps = make_plan(SPEC, engines, demand, 5, {}, demand_known=demand_known)
         found = [(s.engine, s.action.value, s.model) for s in steps if not s.adapter]
         self.assertEqual(expected, found)
 
@@ -432,7 +447,7 @@
 
         The engine's unload had ended at once; the host that orders waited for a report of it.
         """
-        emptied = engine("a", "m0", "m1", "m2", dropping=frozenset({"m2"}))
+        emptied = engine("a", "m0", "m1", "m2", unloading=frozenset({"m2"}))
         demand = {"m3": Demand(1, 0.1)}
         self.assertEqual([("a", "load", "m3")], plan([emptied], demand, {"a": "m3"})[:1])
         self.assertEqual([], plan([emptied], demand))
@@ -449,10 +464,10 @@
             "m0/a3": Demand(0, 0.02, 0.02),
             "m0/a4": Demand(0, 0.01, 0.01),
         }
-        self.assertEqual([("a", "unload", "m0/a2")], plan([full_of_adapters()], demand)[:1])
+        self.assertEqual([("a", "unload", "m0/a2")], plan([engine_full_of_adapters()], demand)[:1])
 
     @params((False, []), (True, [("a", "unload", "m1")]))
-    def test_no_room_is_made_before_hosts_have_told_what_runs(self, heard, expected):
+    def test_nothing_is_evicted_before_hosts_have_reported_what_runs(self, running_known, expected):
         """Callers of the busiest models are refused for six seconds after all hosts were killed.
 
         A tenth of a second after its start the host that orders made room for the first request
@@ -460,7 +475,9 @@
         """
         engines = [engine("a", "m0", "m1", "m2", on_disk=frozenset({"m3"}))]
         demand = {"m3": Demand(1), "m0": Demand(0, 0.3), "m2": Demand(0, 0.3)}
-        steps = make_plan(SPEC, engines, demand, 5, {}, settled=False, heard=heard)
+        steps = make_plan(
+            SPEC, engines, demand, 5, {}, demand_known=False, running_known=running_known
+        )
         found = [(s.engine, s.action.value, s.model) for s in steps if not s.adapter]
         self.assertEqual(expected, found)
 
@@ -479,7 +496,7 @@
         self.assertLessEqual(len(dropped), 3)
         demand = {name: Demand(0, 0.3) for name in NAMES[:3]}
         wanted = {"m3": Demand(1), "m4": Demand(1), "m5": Demand(1)}
-        steps = make_plan(spec, engines[:3], demand | wanted, 5, {}, settled=False)
+        steps = make_plan(spec, engines[:3], demand | wanted, 5, {}, demand_known=False)
         left = {name: 3 for name in NAMES[:3]}
         for step in steps:
             left[step.model] -= 1
@@ -500,13 +517,15 @@
         idle = engine("b", "m0", "m4", running={"m4": 2}, on_disk=frozenset(NAMES), busy=busy)
         spec = replace(SPEC, weights_mb=140.0, models=SPEC.models | {"m4": model("m4")})
         demand = {"m3": Demand(waiting, 0.9), "m1": Demand(0, 0.3), "m2": Demand(0, 0.2)}
-        steps = make_plan(spec, [used, idle], demand | {"m4": Demand(0, 0.6)}, 5, {}, stream=2.0)
-        found = [(s.engine, s.model) for s in steps if s.room_for == "m3"]
+        steps = make_plan(
+            spec, [used, idle], demand | {"m4": Demand(0, 0.6)}, 5, {}, stream_seconds=2.0
+        )
+        found = [(s.engine, s.model) for s in steps if s.evicted_for == "m3"]
         self.assertEqual([goes] if goes else [], found, name)
 
     def test_an_engine_with_room_is_taken_though_another_is_being_emptied(self):
         """A busy model's callers wait for an engine's last streams while a new engine is empty."""
-        emptied = engine("a", "m0", "m1", dropping=frozenset({"m1"}), models={"m2": frozenset()})
+        emptied = engine("a", "m0", "m1", unloading=frozenset({"m1"}), models={"m2": frozenset()})
         demand = {"m3": Demand(5, 0.5), "m0": Demand(0, 0.5)}
         new = engine("b", on_disk=frozenset(NAMES))
         found = plan([replace(emptied, busy=True), new], demand, {"a": "m3"})
@@ -516,10 +535,10 @@
         """A request waits for an adapter until another's stream has ended, beside one unused."""
         used = {"m0/a2": 1, "m0/a3": 2, "m0/a4": 1}
         demand = {"m0/a5": Demand(1, 0.01), "m0/a1": Demand(0, 0.05, 0.05)}
-        found = plan([full_of_adapters(running=used)], demand)
+        found = plan([engine_full_of_adapters(running=used)], demand)
         self.assertEqual([("a", "unload", "m0/a1")], found[:1])
 
-    def test_loads_from_the_store_are_rationed(self):
+    def test_loads_from_the_store_are_rate_limited(self):
         engines = [engine("a"), engine("b")]
         demand = {"m3": Demand(1, 0.1), "m2": Demand(1, 0.1)}
         self.assertEqual([], plan(engines, demand, loads=0))
@@ -531,25 +550,25 @@
     """A host that is behind promises nothing that it can't keep."""
 
     @params(
-        ("time is over", 0.0, 0.05, 0.0, Trouble.NO_TIME),
+        ("time is over", 0.0, 0.05, 0.0, RefusalReason.NO_TIME),
         ("a calm host tries", 0.001, 0.05, 0.01, None),
-        ("too late with these turns", 0.5, 0.05, 0.1, Trouble.TOO_LATE),
+        ("too late with these turns", 0.5, 0.05, 0.1, RefusalReason.TOO_LATE),
         ("in time with these turns", 0.6, 0.05, 0.1, None),
-        ("too late at this endpoint", 0.6, 0.2, 0.1, Trouble.TOO_LATE),
+        ("too late at this endpoint", 0.6, 0.2, 0.1, RefusalReason.TOO_LATE),
     )
     def test_what_can_not_be_answered_in_time_is_not_sent(self, name, left, expected, turn, found):
-        self.assertEqual(found, judge_send(left, expected, turn), name)
+        self.assertEqual(found, check_send(left, expected, turn), name)
 
     @params(
         ("calm", HostState(0.01, 0.0, 3000), None),
         ("one long turn", HostState(3.0, 0.0, 3000), None),
-        ("behind for long", HostState(0.3, 3.0, 3000), Trouble.BEHIND),
+        ("behind for long", HostState(0.3, 3.0, 3000), RefusalReason.BEHIND),
         ("caught up", HostState(0.1, 3.0, 3000), None),
-        ("few descriptors", HostState(0.0, 0.0, 10), Trouble.DESCRIPTORS),
+        ("few descriptors", HostState(0.0, 0.0, 10), RefusalReason.DESCRIPTORS),
         ("descriptors unknown", HostState(0.0, 0.0, None), None),
     )
     def test_a_host_is_ready_when_it_can_take_something_new(self, name, state, found):
-        self.assertEqual(found, judge_host(state), name)
+        self.assertEqual(found, check_host(state), name)
 
     def test_refused_callers_do_not_return_together(self):
         rng = random.Random(5)
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -7,7 +7,7 @@
 
 from peridotdock.board import Board
 from peridotdock.clients.tables import TableView
-from peridotdock.decisions.freshness import wait_after
+from peridotdock.decisions.freshness import retry_delay
 from peridotdock.errors import Failure, Kind
 from peridotdock.membership import Membership
 from peridotdock.relay.asks import EndpointEntry
@@ -272,5 +272,5 @@
 class AgainTest(unittest.TestCase):
     def test_a_store_that_refuses_is_not_asked_again_at_once(self):
         """A store that turns all hosts away gets two calls a host within 0.03 s."""
-        self.assertEqual(0.0, wait_after(1, lost=True))
-        self.assertGreater(wait_after(1, lost=False), 0.1)
+        self.assertEqual(0.0, retry_delay(1, lost=True))
+        self.assertGreater(retry_delay(1, lost=False), 0.1)
--- a/tests/relay/test_outages.py
+++ b/tests/relay/test_outages.py
@@ -7,7 +7,7 @@
 from peridotdock.board import Board
 from peridotdock.clients.engines import Action
 from peridotdock.clients.tables import TableChanges, TableView
-from peridotdock.decisions.freshness import LEAST_BOUND, share_out
+from peridotdock.decisions.freshness import MIN_BOUND_SECONDS, divide_bound
 from peridotdock.frames import decode, encode_update
 from peridotdock.links import WaitingRows
 from peridotdock.relay.following import Follower
@@ -122,7 +122,7 @@
 
 
 # Seconds after which a host asks for itself when the one that reads for it is silent.
-SILENCE = share_out(LEAST_BOUND).silence
+SILENCE = divide_bound(MIN_BOUND_SECONDS).silence
 
 
 class SilentTables:
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -60,7 +60,7 @@
         self._sock.close()
 
 
-class SlowTurns:
+class SlowIterations:
     """Makes each turn of the loop last ``seconds`` longer."""
 
     def __init__(self, seconds):
@@ -148,7 +148,7 @@
         """
         async with Deployment() as found:
             caller = Caller(found.hosts[0].settings.listen.callers)
-            with SlowTurns(0.12):
+            with SlowIterations(0.12):
                 caller.ask("/bind/", "a1")
                 status, headers = await caller.read()
             caller.close()
@@ -212,7 +212,7 @@
     @run
     async def test_a_host_that_stays_behind_is_not_ready(self):
         async with Deployment() as found:
-            with SlowTurns(0.21):
+            with SlowIterations(0.21):
                 await asyncio.sleep(3.5)
             await self.check_refuses(found)
             await asyncio.sleep(2.5)
@@ -257,7 +257,7 @@
     """
 
     @run
-    async def test_a_crowd_of_new_connections_shares_the_loop(self):
+    async def test_a_burst_of_new_connections_shares_the_loop(self):
         async with Deployment() as found:
             turns = asyncio.get_running_loop().turns
             address = found.hosts[0].settings.listen.callers
@@ -273,7 +273,7 @@
             self.assertLessEqual(most, 64)
 
 
-class FewTurnsTest(unittest.TestCase):
+class FewIterationsTest(unittest.TestCase):
     """An answer that its endpoint made in time is late, as each of its steps waits for the loop.
 
     With turns of 0.1 s, eleven turns from the request's head to its answer take 1.1 s beside an
@@ -281,13 +281,13 @@
     """
 
     @run
-    async def test_an_answer_takes_few_turns(self):
+    async def test_an_answer_takes_few_iterations(self):
         async with Deployment() as found:
             loop = asyncio.get_running_loop()
             caller = Caller(found.hosts[0].settings.listen.callers)
             taken = []
             for number in range(3):
-                with SlowTurns(0.0):
+                with SlowIterations(0.0):
                     began = loop.turns.count
                     caller.ask("/fetch/", f"a{number}")
                     self.assertEqual(200, (await caller.read())[0])
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -250,7 +250,7 @@
         fleet.replace([self.entry(born)] if born else [])
         clock.advance(later)
         if refused:
-            fleet.states["e1"].health.unreachable(1000.0 + later)
+            fleet.states["e1"].health.record_unreachable(1000.0 + later)
         if sent is not None:
             state = fleet.states["e1"]
             clock.time = sent
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -10,7 +10,7 @@
 from nose2.tools import params
 
 from peridotdock.decisions.quotas import (
-    LEAST_ROOM_SECONDS,
+    MIN_CAPACITY_SECONDS,
     HostQuotas,
     HubQuotas,
     Tolerance,
@@ -107,13 +107,13 @@
             if host in self.hosts:
                 hub, quotas = self.hub_of(host), {"w": self.quota}
                 share, age = self._share(hub), self.now - at
-                self._hub(hub).note_usage(host, epoch, usage, quotas, share, self.now, age)
+                self._hub(hub).charge_usage(host, epoch, usage, quotas, share, self.now, age)
 
     def _hear(self, hub, low):
         self.words[hub] = self.words["last"] = low
         for host, quotas in self.hosts.items():
             if self.hub_of(host) == hub:
-                quotas.hear(low)
+                quotas.update_low(low)
 
     def _come(self):
         rate = max(0.01, self.load(self.now)) * self.quota.rate / COST[self.quota]
@@ -125,12 +125,12 @@
             self.refused += 1
 
     def _admit(self, host, quotas, hub, cost):
-        quotas.hear(self.words.get(hub))
-        if not quotas.must_ask("w"):
+        quotas.update_low(self.words.get(hub))
+        if not quotas.needs_hub("w"):
             quotas.count("w", cost)
             return 0.0
         if self.now < self.silent_until:
-            return quotas.take_alone("w", self.quota, cost, len(self.hosts), self.now)
+            return quotas.take_local("w", self.quota, cost, len(self.hosts), self.now)
         return self._hub(hub).take("w", self.quota, cost, self._share(hub), self.now)
 
     # Faults
@@ -245,14 +245,14 @@
         self.assertEqual(10, taken)
 
     @params(
-        (Tolerance(8.0, 0.0, 0.0), Quota(5.0, 0.0), 5 * LEAST_ROOM_SECONDS, 0.0),
+        (Tolerance(8.0, 0.0, 0.0), Quota(5.0, 0.0), 5 * MIN_CAPACITY_SECONDS, 0.0),
         (Tolerance(8.0, 0.0, 0.0), Quota(5.0, 9.0), 9.0, 0.0),
         (Tolerance(8.0, 0.1, 0.0), Quota(5.0, 10.0), 10.0 + 1.25, 2.5),
         (Tolerance(8.0, 0.1, 3.0), Quota(5.0, 10.0), 10.0 + 2.0, 4.0),
         (Tolerance(8.0, 0.1, 90.0), Quota(5.0, 1.0), 1.25 + 23.525, 24.775),
     )
     def test_a_bucket_holds_the_burst_and_a_part_of_the_tolerance(self, found, quota, full, start):
-        self.assertAlmostEqual(full, found.room(quota))
+        self.assertAlmostEqual(full, found.capacity(quota))
         self.assertAlmostEqual(start, found.start(quota))
 
     @params((86, 86, 1.0), (1, 86, 1.025 / 86), (8, 9, 1.025 * 8 / 9), (0, 0, 1.0))
@@ -263,7 +263,7 @@
         hub, quotas = HubQuotas(Tolerance(1.0, 0.0, 0.0)), {"w": REQUESTS}
         hub.start(quotas, {}, 1.0, 0.0)
         for epoch, units in ((1, 40), (1, 60), (2, 10)):
-            hub.note_usage("h", epoch, Usage({"w": units}, {}), quotas, 1.0, 0.0)
+            hub.charge_usage("h", epoch, Usage({"w": units}, {}), quotas, 1.0, 0.0)
         self.assertEqual(0.0, hub.take("w", REQUESTS, 1.0, 1.0, 0.0))
         # The first word of a host counts from the last hub's, and then 20 and 10 units come.
         self.assertEqual({"w": 70}, hub.low(quotas, 1.0, 0.0))
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -10,10 +10,10 @@
 from nose2.tools import params
 
 from peridotdock.blocklist import EndpointStart
-from peridotdock.decisions.choice import Candidate, Work
+from peridotdock.decisions.choice import Candidate, RequestCost
 from peridotdock.decisions.health import Health
-from peridotdock.decisions.pacing import Denial, PaceLimit, Pacer, PromptAsk
-from peridotdock.decisions.permits import PROMISE_SECONDS, Permits, retry_after
+from peridotdock.decisions.pacing import Denial, PaceLimit, Pacer, QueuedPrompt
+from peridotdock.decisions.permits import MAX_ADVANCE_SECONDS, Permits, retry_after
 from peridotdock.platform.wire import PlatformWire
 from peridotdock.relay.asks import EndpointEntry
 from peridotdock.relay.endpoint import EndpointState, next_start
@@ -170,7 +170,7 @@
     def test_prompts_wait_for_the_permits_of_the_only_engine(self):
         """The hub grants prompts for an engine in need as fast as it reads them."""
         permits, pacer, granted, denied, now = Permits(), Pacer(random.Random(1)), [], 0, 0.0
-        work = Work(900, 0, 0.00002, 0.5)
+        work = RequestCost(900, 0, 0.00002, 0.5)
 
         def look(ask):
             wait = permits.wait(START, 1.0, now)
@@ -179,8 +179,8 @@
         for step in range(2000):
             now = step * 0.01
             if step % 20 == 0:
-                pacer.add(PromptAsk(step, "m0", work, 0, now + 0.5, now + 2.0))
-            decided, _ = pacer.pump(now, PaceLimit(0.0, math.inf), look)
+                pacer.add(QueuedPrompt(step, "m0", work, 0, now + 0.5, now + 2.0))
+            decided, _ = pacer.dispatch(now, PaceLimit(0.0, math.inf), look)
             for row in decided:
                 if isinstance(row, Denial):
                     denied += 1
@@ -195,9 +195,9 @@
         """All prompts that wait when a permit comes go to the engine together."""
         pacer = Pacer(random.Random(1))
         for number in range(20):
-            pacer.add(PromptAsk(number, "m0", Work(10, 0, 0.00002, 0.5), 0, 1.0, 30.0))
+            pacer.add(QueuedPrompt(number, "m0", RequestCost(10, 0, 0.00002, 0.5), 0, 1.0, 30.0))
         engine = Candidate("e1", 0.0, 0, 64, 0, False, 1.0, True, False, 0.0, 1.0)
-        decided, _ = pacer.pump(0.0, PaceLimit(0.0, math.inf), lambda ask: [engine])
+        decided, _ = pacer.dispatch(0.0, PaceLimit(0.0, math.inf), lambda prompt: [engine])
         self.assertEqual(1, len(decided))
 
 
@@ -261,7 +261,7 @@
             refused = [row for row in answers if row[0] != 200]
             self.assertEqual({503}, {status for status, _, _ in refused})
             self.assertGreater(len(refused), 20)
-            self.assertLess(max(seconds for _, _, seconds in refused), PROMISE_SECONDS)
+            self.assertLess(max(seconds for _, _, seconds in refused), MAX_ADVANCE_SECONDS)
             self.assertTrue(all(float(headers["retry-after"]) >= 0.2 for _, headers, _ in refused))
 
     @run
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -9,7 +9,7 @@
 
 from nose2.tools import params
 
-from peridotdock.decisions.backoff import FIRST_SECONDS, MOST_SHARE, backoff_seconds
+from peridotdock.decisions.backoff import FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SHARE, backoff_seconds
 from peridotdock.decisions.health import Health
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.asks import EndpointEntry, HeldModel, ModelWish
@@ -109,11 +109,11 @@
     def test_waits_double(self, refusals, factor):
         draws = random.Random(1)
         waits = [backoff_seconds(refusals, 60.0, draws.random) for _ in range(200)]
-        self.assertGreaterEqual(min(waits), 0.5 * factor * FIRST_SECONDS)
-        self.assertLessEqual(max(waits), 1.5 * factor * FIRST_SECONDS)
+        self.assertGreaterEqual(min(waits), 0.5 * factor * FIRST_BACKOFF_SECONDS)
+        self.assertLessEqual(max(waits), 1.5 * factor * FIRST_BACKOFF_SECONDS)
         self.assertGreater(max(waits), 1.3 * min(waits))
 
-    @params((0.1, 0.1 * MOST_SHARE), (0.0, 0.0), (-1.0, 0.0))
+    @params((0.1, 0.1 * MAX_BACKOFF_SHARE), (0.0, 0.0), (-1.0, 0.0))
     def test_a_wait_leaves_time_for_the_answer(self, left, expected):
         self.assertAlmostEqual(expected, backoff_seconds(5, left, lambda: 0.5))
 
@@ -130,7 +130,7 @@
             status, _, body = await found.ask("/fetch/")
             waited = asyncio.get_running_loop().time() - began
             self.assertEqual((200, b"whole answer"), (status, body))
-            self.assertGreaterEqual(waited, 1.5 * FIRST_SECONDS)
+            self.assertGreaterEqual(waited, 1.5 * FIRST_BACKOFF_SECONDS)
 
     @run
     async def test_a_refusal_keeps_its_connection(self):
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -10,7 +10,7 @@
 from peridotdock.clients.engines import Action, EngineOrder, EngineState, OrderAnswer
 from peridotdock.decisions.adapters import count_adapters
 from peridotdock.decisions.draft import Draft
-from peridotdock.decisions.eviction import Claim, find_victims
+from peridotdock.decisions.eviction import EvictionLevel, find_victims
 from peridotdock.errors import Failure, Kind
 from peridotdock.platform.endpoints import decode_report
 from peridotdock.relay.asks import EndpointEntry, HeldModel, ModelWish, PromptPart
@@ -74,13 +74,13 @@
         state = self.state()
         self.fleet.began(state, "a1", WISH, 900)
         state.others = OthersLoad(5, 4000, self.clock.monotonic())
-        state.health.unreachable(self.clock.monotonic())
+        state.health.record_unreachable(self.clock.monotonic())
         self.fleet.take_news([news(FIRST, ["m0"])], NOW)
         self.fleet.update({"e1": entry(SECOND, "m0")})
         found, now = self.state(), self.clock.monotonic()
         self.assertEqual(0, found.cached(WISH))
         self.assertEqual((0, 0), found.load(now))
-        self.assertFalse(found.health.closed(now) or found.health.suspect(now))
+        self.assertFalse(found.health.absent(now) or found.health.suspect(now))
         self.assertIsNone(found.heard)
         self.fleet.ended(state, "a1", "s", whole=False)
         self.assertEqual((0, 0), found.load(now))
@@ -182,7 +182,9 @@
     )
     def test_places_are_kept_for_adapters_that_may_arrive_yet(self, name, late, expected):
         models = {"m0": frozenset({"a1", "a2", "a3"})}
-        self.assertEqual(expected, count_adapters(engine("e1", models=models, late=late)), name)
+        self.assertEqual(
+            expected, count_adapters(engine("e1", models=models, unanswered=late)), name
+        )
 
     @params(
         ("a model", order(0), SECOND, 0, 1.0, {"m1"}),
@@ -218,10 +220,10 @@
         start after another one had filled it.
         """
         plain = engine("e1", "m0", "m1")
-        late = engine("e1", "m0", "m1", late=frozenset({"m2"}))
+        late = engine("e1", "m0", "m1", unanswered=frozenset({"m2"}))
         for model, view, expected in (("m3", plain, True), ("m3", late, False), ("m2", late, True)):
             plan = Draft(SPEC, {"e1": view}, {}, 5, {}, {}, True)
-            victims = find_victims(plan, view, SPEC.models[model], Claim.SURPLUS)
+            victims = find_victims(plan, view, SPEC.models[model], EvictionLevel.SURPLUS)
             self.assertEqual(expected, victims == (), model)
 
 
--- a/tests/relay/test_views.py
+++ b/tests/relay/test_views.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from peridotdock.clients.tables import TableChanges, TableView
-from peridotdock.decisions.freshness import share_out, wait_after
+from peridotdock.decisions.freshness import divide_bound, retry_delay
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.following import LEAST_PAUSE, Follower
 from peridotdock.relay.views import MOST_TOLD_BYTES, WORD_SECONDS, Views
@@ -278,7 +278,7 @@
                 await self.start(bound, hop)
                 self.reader.tables.change("other", b"x")
                 await self.run_for(2 * TICK)
-                await self.silence_reader(share_out(bound).pause + 2 * TICK)
+                await self.silence_reader(divide_bound(bound).pause + 2 * TICK)
                 self.assertLess(await self.until_seen(bound), bound)
 
     async def test_the_reader_falls_silent(self):
@@ -303,7 +303,7 @@
     async def test_hosts_hear_at_once_that_the_reader_hears_nothing(self):
         """Hosts wait for the next word of the reader before they ask for themselves."""
         await self.start(2.0, 0.1)
-        limits = share_out(2.0)
+        limits = divide_bound(2.0)
         await self.silence_reader(60.0)
         silent = self.clock.monotonic()
         asked = len(self.host.tables.calls)
@@ -374,7 +374,7 @@
         """Limits are shares of one bound, so a change of one cannot break the sum unseen."""
         one_call, hops = 0.1, 0.14
         for bound in (2.0, 3.0, 10.0):
-            limits = share_out(bound)
+            limits = divide_bound(bound)
             lost_call = limits.pause + limits.hold + limits.answer + (one_call + hops) * bound
             silent = limits.silence * 1.25 + one_call * bound
             old = limits.age + limits.silence / 4 + one_call * bound
@@ -384,4 +384,4 @@
                 self.assertLessEqual(calm, limits.age)
 
     def test_calls_are_made_again_ever_seldomer(self):
-        self.assertEqual([0.0, 0.3, 0.6, 1.0, 1.0], [wait_after(n) for n in (1, 2, 3, 4, 50)])
+        self.assertEqual([0.0, 0.3, 0.6, 1.0, 1.0], [retry_delay(n) for n in (1, 2, 3, 4, 50)])
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -216,7 +216,7 @@
             for number in range(8):
                 status, _, _ = await found.ask("/recap/", f"a{number}", model="m0")
                 self.assertEqual(200, status)
-            self.assertEqual({"e2"}, set(host.grants.server._pacers["engines"]._lanes))
+            self.assertEqual({"e2"}, set(host.grants.server._pacers["engines"]._schedules))
 
     @run
     async def test_a_word_that_comes_while_the_hub_is_asked_counts(self):
