--- a/peridotdock/decisions/__init__.py
+++ b/peridotdock/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as pure functions of frozen data, with clock and random source passed in."""
+"""Decisions as pure functions of frozen data; the clock and the random source are passed in."""
--- a/peridotdock/decisions/adapters.py
+++ b/peridotdock/decisions/adapters.py
@@ -1,21 +1,20 @@
 """Which adapters engines load and unload.
 
-Load pattern: half of the short requests name one of dozens of adapters, and an engine has places
-for a few. A load takes milliseconds; a place is freed only when the requests that use it have
-ended.
+Load pattern: half of the short requests name one of dozens of adapters, and an engine has slots for
+a few. A load takes milliseconds; a slot becomes free only when the requests that use it have ended.
 """
 
 from peridotdock.clients.engines import Action
 from peridotdock.decisions.copies import SPARE_COPY_DEMAND
 from peridotdock.decisions.draft import Draft, EngineView, Step, peak_demand
 
-# Adapter places of an engine that are not filled without need, so that the next adapter asked for
-# needs no unload first.
+# Adapter slots of an engine that preloading leaves free, so that the next adapter requested can be
+# loaded without an unload first.
 SPARE_ADAPTER_SLOTS = 1
 
 
 def place_adapters(draft: Draft) -> None:
-    """Load the adapters that are asked for, on an engine that holds their model."""
+    """Load the adapters that requests wait for, on an engine that holds their model."""
     for item, found in sorted(draft.demand.items(), key=lambda row: -row[1].waiting):
         model, _, adapter = item.partition("/")
         if adapter and found.waiting and not adapter_ready(draft, model, adapter):
@@ -23,10 +22,10 @@
 
 
 def preload_adapters(draft: Draft) -> None:
-    """Load adapters that nobody waits for into places that are free, for models in demand.
+    """Load adapters that no request waits for into free slots, for models in demand.
 
-    A first request then finds its adapter even while no host orders engines or while the engine
-    is busy with a model, which keeps adapters out for as long as that takes.
+    A first request then finds its adapter even while no host orders engines, or while the engine is
+    busy with the load of a model, during which it loads no adapters.
     """
     for model in draft.spec.models.values():
         if peak_demand(draft, model.name) < SPARE_COPY_DEMAND:
@@ -47,24 +46,24 @@
 
 
 def adapter_ready(draft: Draft, model: str, adapter: str) -> bool:
-    """Tell whether some engine can serve an adapter."""
+    """Return whether some engine can serve an adapter."""
     return (model, adapter) in draft.ready_adapters
 
 
 def engines_for_adapter(draft: Draft, model: str) -> list[EngineView]:
-    """Return the engines that hold a model and take an order for one of its adapters now."""
+    """Return the engines that hold a model and can take an order for one of its adapters now."""
     rows = draft.ready(model)
     return [e for e in rows if not (e.busy or e.unloading or e.key in draft.ordered_engines)]
 
 
 def place_adapter(draft: Draft, model: str, adapter: str) -> None:
-    """Order an adapter's load where a place is free, or the unload that frees one."""
+    """Order an adapter's load where a slot is free, or else the unload that frees one."""
     holders = engines_for_adapter(draft, model)
     if not holders:
         return
-    places = draft.spec.adapter_places
-    engine = min(holders, key=lambda e: (count_adapters(e) >= places, e.queued_tokens, e.key))
-    if count_adapters(engine) < places:
+    slots = draft.spec.adapter_places
+    engine = min(holders, key=lambda e: (count_adapters(e) >= slots, e.queued_tokens, e.key))
+    if count_adapters(engine) < slots:
         draft.add(Step(engine.key, Action.LOAD, model, adapter, "asked for"))
         return
     found = [(engine, least_wanted_adapter(draft, engine)) for engine in holders]
@@ -78,7 +77,7 @@
 
 
 def count_adapters(engine: EngineView) -> int:
-    """Return how many adapter places are taken, or may be by an order that arrives late."""
+    """Return how many adapter slots are occupied, or may be by an unanswered order."""
     count = sum(map(len, engine.models.values()))
     if engine.unanswered:
         held = {f"{model}/{name}" for model, names in engine.models.items() for name in names}
@@ -87,7 +86,7 @@
 
 
 def least_wanted_adapter(draft: Draft, engine: EngineView) -> tuple[str, str] | None:
-    """Return the adapter on an engine that is asked for least and not waited for."""
+    """Return the adapter on an engine that has the least demand and that no request waits for."""
     held = [(model, name) for model, names in engine.models.items() for name in names]
     idle = [row for row in held if not draft.demand_for("/".join(row)).waiting]
     return min(idle, key=lambda row: adapter_eviction_key(draft, engine, row), default=None)
@@ -96,9 +95,9 @@
 def adapter_eviction_key(
     draft: Draft, engine: EngineView, row: tuple[str, str]
 ) -> tuple[bool, float, float, tuple[str, str]]:
-    """Return what to rank adapters by: those without requests first, then the least asked for.
+    """Return the sort key of adapters to evict: those without running requests, then least demand.
 
-    An adapter in use goes only when its requests have ended, and keeps its place until then.
+    An adapter in use keeps its slot until its requests have ended.
     """
     item = "/".join(row)
     found = draft.demand_for(item)
--- a/peridotdock/decisions/choice.py
+++ b/peridotdock/decisions/choice.py
@@ -1,36 +1,39 @@
-"""Which endpoint a relayed request goes to: the one predicted to answer first.
+"""Choice of the endpoint for a relayed request: the one predicted to answer first.
 
-Load pattern: prompts that share long beginnings, on engines that batch. The time to the first
-token is the prompt tokens that must be read before it, ours and those ahead of it, times the
-engine's time for a token. So a runner that kept the shared part of a prompt is worth a longer
-queue, up to the time that reading the part again would take, and no further.
+Load pattern: prompts with long shared prefixes, on engines that batch. The time to the first token
+is the number of prompt tokens to prefill before it (the request's own and those queued ahead of it)
+times the engine's prefill time per token. An endpoint that has the shared prefix cached is
+therefore worth a longer queue, up to the time that prefilling the prefix again would take.
 """
 
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Seconds an engine takes for a step with few requests; the first token takes one step at least.
+# Duration of an engine step with few requests; the first token takes at least one step.
 STEP_SECONDS = 0.006
-# Endpoints whose predictions differ by less are taken as equal: trips between failure domains and
-# the lag of the hosts' reports to each other leave this much open.
+# Predictions that differ by less count as equal: round trips between failure domains and the delay
+# of the hosts' reports to each other make them uncertain by about this much.
 TIE_SECONDS = 0.004
-# Parts of an endpoint's places by which equal ones are told apart.
+# Number of steps of occupancy by which endpoints with equal predictions are compared.
 OCCUPANCY_STEPS = 8
-# Share of a shared part that is taken to be cached on the endpoint that all hosts prefer for it.
+# Share of a shared prefix that is assumed to be cached on the endpoint that all hosts prefer for
+# it.
 PREFERRED_CACHED_SHARE = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One endpoint as seen for one request. Times in seconds, the rest in tokens or requests.
-
-    ``ahead`` are prompt tokens that wait or are being read there; ``cached`` of ours need no
-    reading. ``slowness`` is its time over the usual time for the same work. ``suspect`` ones
-    failed lately and are taken only when nothing else is left. Of one that has named a limit,
-    ``permit_wait`` are the seconds until there is a permit, as far as known, and ``permit_gap``
-    those between two; both are 0 for others. ``rest`` are the seconds for which it wants nothing
-    from the host that sends.
+    """One endpoint as seen for one request. Times are in seconds, the rest in tokens or requests.
+
+    ``queued_tokens`` are prompt tokens that wait or are being prefilled there; ``cached_tokens`` of
+    the request's prompt need no prefill. ``slowness`` is the endpoint's time divided by the usual
+    time for the same work. ``suspect`` endpoints failed recently and are used only when no other is
+    left.
+
+    ``permit_wait`` is the known time until an endpoint with an announced limit has a free permit,
+    ``permit_interval`` the time between two permits; both are 0 for endpoints without a limit.
+    ``backoff`` is the time for which the endpoint wants no requests from the sending host.
     """
 
     key: str
@@ -48,21 +51,21 @@
 
     @property
     def rate_limited(self) -> bool:
-        """Tell whether the endpoint takes only so many requests a second."""
+        """Whether the endpoint has announced a limit in requests per second."""
         return self.permit_interval > 0
 
     @property
     def available_in(self) -> float:
-        """Return the seconds until the host that looks may send there, as far as it knows."""
+        """Seconds until the local host may send to the endpoint, as far as it knows."""
         return max(self.permit_wait, self.backoff)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCost:
-    """What a request asks of an engine; a plain service has no tokens.
+    """What a request costs an engine; a plain service has no tokens.
 
-    ``per_token`` is the time to read one prompt token, ``service`` how long a request holds its
-    place, both in seconds.
+    ``seconds_per_token`` is the prefill time of one prompt token, ``service_seconds`` how long a
+    request occupies a slot.
     """
 
     tokens: int
@@ -73,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """An endpoint and the seconds until its first token (or its answer) is expected.
+    """An endpoint and the seconds until its first token, or its whole answer, is expected.
 
-    ``granted`` tells that it was found by the host that knows of all prompts.
+    ``granted`` is set when the hub, which knows the prompts of all hosts, made the prediction.
     """
 
     candidate: Candidate
@@ -84,7 +87,7 @@
 
 
 def predict(candidate: Candidate, work: RequestCost) -> float:
-    """Return the seconds until the first token, or the answer of a plain service."""
+    """Return the seconds until the first token, or until the answer of a plain service."""
     over = candidate.running + 1 - candidate.slots
     wait = max(0, over) * work.service_seconds / max(1, candidate.slots)
     if work.tokens == 0:
@@ -94,30 +97,30 @@
 
 
 def uncached_tokens(candidate: Candidate, work: RequestCost) -> int:
-    """Return how many prompt tokens the endpoint has to read for a request, as far as is known."""
+    """Return how many prompt tokens the endpoint must prefill for a request, as far as is known."""
     return max(0, work.tokens - candidate.cached_tokens)
 
 
 def estimate_cached_tokens(cached: int, shared: int) -> int:
-    """Return how much of a prompt counts as kept at the endpoint that all hosts prefer for it.
+    """Return how many prompt tokens count as cached on the endpoint that all hosts prefer for them.
 
-    Other hosts' requests may have left the shared part there, which this host does not hear of.
+    Requests of other hosts may have cached the shared prefix there, which this host does not learn.
     """
     return max(cached, int(shared * PREFERRED_CACHED_SHARE))
 
 
 def expected_prefill_seconds(work: RequestCost) -> float:
-    """Return the engine's time that a request asks for, with its shared part read as often."""
+    """Return the expected prefill time of a request, with the usual share of its prefix cached."""
     return (work.tokens - work.shared_tokens * PREFERRED_CACHED_SHARE) * work.seconds_per_token
 
 
 def choose(
     candidates: Sequence[Candidate], work: RequestCost, rng: random.Random
 ) -> Prediction | None:
-    """Return the endpoint to send to, or None when there is none.
+    """Return the endpoint to send to, or None when there are no candidates.
 
-    Suspects are passed over unless all are: to leave out every endpoint would turn a fault that
-    all share into an outage of our own making.
+    Suspects are skipped unless all candidates are suspects: excluding every endpoint would turn a
+    fault that all of them share into a complete outage.
     """
     healthy = [candidate for candidate in candidates if not candidate.suspect] or list(candidates)
     if not healthy:
@@ -129,14 +132,14 @@
 
 
 def tie_break_key(candidate: Candidate, rng: random.Random) -> tuple[bool, int, bool, float]:
-    """Return what equal endpoints are ordered by: what they have kept, how full they are, the way.
+    """Return the sort key of equal predictions: cached prefix, occupancy, failure domain, random.
 
-    Requests that run make each other's tokens slower, which a prediction of the first one does not
-    show.
+    Occupancy counts because concurrent requests slow down each other's tokens, which a prediction
+    of the first token does not show.
     """
     return not candidate.preferred, occupancy(candidate), not candidate.same_domain, rng.random()
 
 
 def occupancy(candidate: Candidate) -> int:
-    """Return how many eighths of an endpoint's places are taken."""
+    """Return how many eighths of an endpoint's slots are occupied."""
     return OCCUPANCY_STEPS * candidate.running // max(1, candidate.slots)
--- a/peridotdock/decisions/copies.py
+++ b/peridotdock/decisions/copies.py
@@ -1,41 +1,44 @@
-"""How many copies of a model there should be, and whether those there are have too much to do.
+"""How many copies of a model there should be, and whether the existing ones are overloaded.
 
 Load pattern: demand moves to other models within seconds; two models become busy on one engine
-while others rest on copies that nobody asks for. Copies follow the demand of the last seconds.
+while other engines hold only copies without requests. The number of copies follows the demand of
+the last seconds.
 """
 
 from peridotdock.decisions.draft import Draft, EngineView, current_demand, model_demand
 
-# When a model is crowded at every holder, so that a further copy may take the room of an idle one:
-# prompt tokens that wait there, over some seconds, or engine seconds asked of it in a second. Both
-# grow with the seconds that a load takes, as it pays later.
+# A model is overloaded, so that a further copy may evict an idle model, when every holder has so
+# many queued prompt tokens, averaged over some seconds, or so much demand in engine seconds per
+# second. Both bounds grow with the load time of the model, as a slower load pays off later.
 OVERLOADED_TOKENS = 6000.0
 OVERLOADED_TOKENS_PER_LOAD_SECOND = 1500.0
 OVERLOADED_UTILIZATION = 0.5
 OVERLOADED_UTILIZATION_PER_LOAD_SECOND = 0.05
-# Engine seconds asked for in a second, above which an adapter is in use: a single prompt fades
-# below this in about the time that its answer takes.
+# Demand in engine seconds per second above which an adapter is in use: that of a single prompt
+# decays below this in about the time that its answer takes.
 ADAPTER_DEMAND = 0.001
-# Engine seconds asked for in a second, from which a model should survive the loss of an engine.
-# Rare models come back from memory or disk.
+# Demand in engine seconds per second from which a model should survive the loss of an engine. Rarer
+# models are loaded again from memory or disk.
 SPARE_COPY_DEMAND = 0.12
-# Copies of a model that stay before its demand is known.
+# Copies of a model that are kept before its demand is known.
 INITIAL_COPIES = 2
-# Engine seconds a second that one copy serves before a further one is worth a load. An engine
-# reads prompts at most of the time when it is full; half leaves room for a burst of twice that.
+# Demand in engine seconds per second that one copy serves before a further copy is worth a load. A
+# full engine spends most of its time on prefill; half leaves capacity for a burst of twice the
+# demand.
 COPY_DEMAND = 0.45
 
 
 def all_models_held(draft: Draft) -> bool:
-    """Tell whether every model is held somewhere: before that, room is not for further copies."""
+    """Return whether every model is held somewhere; until then no memory goes to further copies."""
     return all(draft.holders(name) for name in draft.spec.models)
 
 
 def is_overloaded(draft: Draft, model: str) -> bool:
-    """Tell whether a model has too little of its engines' time wherever it is held.
+    """Return whether a model gets too little engine time wherever it is held.
 
-    Load pattern: two models become busy on one engine, as demand moves, while the others rest on
-    copies of models that nobody asks for. No further copy is called for while one is coming.
+    Load pattern: demand moves and two models become busy on one engine, while other engines hold
+    only copies of models without requests. A model is not overloaded while a further copy is being
+    loaded.
     """
     if model not in draft.overloaded:
         draft.overloaded[model] = compute_overloaded(draft, model)
@@ -43,7 +46,7 @@
 
 
 def compute_overloaded(draft: Draft, model: str) -> bool:
-    """Look whether a model has too little of its engines' time wherever it is held."""
+    """Compute :func:`is_overloaded` without the cache of the draft."""
     holders = draft.holders(model)
     if not holders or len(holders) > len(draft.ready(model)):
         return False
@@ -57,27 +60,32 @@
 
 
 def utilization_of(draft: Draft, engine: EngineView) -> float:
-    """Return the engine seconds a second asked of an engine, each model's over all copies."""
+    """Return the demand on an engine in engine seconds per second.
+
+    The demand for a model is divided evenly among its copies.
+    """
     return draft.utilization[engine.key]
 
 
 def wanted_copies(draft: Draft, model: str) -> int:
-    """Return how many copies a model should have, by its demand and by its adapters' places."""
+    """Return how many copies a model should have, by its demand and its adapters' slots."""
     rate = current_demand(draft, model)
     if rate < SPARE_COPY_DEMAND:
         return 1
-    adapters = sum(1 for asked in draft.adapter_demand.get(model, ()) if asked > ADAPTER_DEMAND)
+    adapters = sum(
+        1 for adapter_rate in draft.adapter_demand.get(model, ()) if adapter_rate > ADAPTER_DEMAND
+    )
     by_adapter_slots = -(-adapters // max(1, draft.spec.adapter_places))
     return max(2, 1 + int(rate / COPY_DEMAND), by_adapter_slots)
 
 
 def kept_copies(draft: Draft, model: str) -> int:
-    """Return how many copies of a model stay while nothing waits for their room.
+    """Return how many copies of a model are kept while no request waits for their memory.
 
-    Failure guarded against: in the first second of traffic a busy model has not been asked for yet,
-    its copies go for models that nobody asks for, and it is gone for seven seconds. Until some
-    seconds of demand are known, the platform's own placement tells what will be busy: models that
-    it has put on several engines keep two copies.
+    Failure guarded against: in the first second of traffic a busy model has not been requested yet,
+    its copies are evicted for models without requests, and it is gone for seven seconds. Until some
+    seconds of demand are known, the platform's own placement indicates what will be busy: models
+    that it has put on several engines keep two copies.
     """
     wanted = wanted_copies(draft, model)
     return wanted if draft.demand_known else max(wanted, INITIAL_COPIES)
--- a/peridotdock/decisions/draft.py
+++ b/peridotdock/decisions/draft.py
@@ -1,4 +1,4 @@
-"""What a plan is made of: engines and demand as the host that orders knows them, and its steps."""
+"""Input and state of a plan: engines and demand as the planning host knows them, and the steps."""
 
 from collections.abc import Mapping, Sequence, Set
 from dataclasses import dataclass, field
@@ -7,8 +7,8 @@
 from peridotdock.clients.engines import Action
 from peridotdock.deployment import EngineSpec
 
-# Engine seconds asked for in a second, below which a model counts as idle: a single long prompt
-# fades below this within a minute.
+# Demand in engine seconds per second below which a model counts as idle: that of a single long
+# prompt decays below this within a minute.
 IDLE_DEMAND = 0.02
 
 
@@ -16,14 +16,17 @@
 class EngineView:
     """One engine as the host that orders it knows it.
 
-    ``models`` are those that take up memory, with their adapters; of them, ``loading`` ones can't
-    serve yet and ``dropping`` ones no more: their room can be ordered for what it is made for, as
-    the engine refuses a load until it is free. ``freeing`` tells that an adapter's place will be
-    free when the requests that use it have ended. ``busy`` engines carry out an order and refuse
-    others. ``ahead`` are prompt tokens that wait there, over some seconds; ``settling`` models were
-    loaded a moment ago. ``late`` are models, and adapters as MODEL/NAME, that it may load yet by
-    orders that got no answer: they take room, and serve nobody. ``running`` are requests there, by
-    model without its adapters and by adapter as MODEL/NAME.
+    ``models`` are the models that occupy memory, with their adapters. Of them, ``loading`` ones
+    cannot serve yet and ``unloading`` ones no longer can. The memory of an unloading model can be
+    ordered for the model it is freed for, as the engine refuses the load until it is free.
+    ``freeing_adapter`` is set when an adapter's slot becomes free as soon as the requests that use
+    it have ended.
+
+    ``busy`` engines carry out an order and refuse others. ``queued_tokens`` are prompt tokens that
+    wait there, averaged over some seconds. ``recently_loaded`` models were loaded a moment ago.
+    ``unanswered`` are models, and adapters as MODEL/NAME, that the engine may still load by orders
+    that got no answer: they occupy memory and serve no requests. ``running`` counts the requests
+    there, by model without its adapters and by adapter as MODEL/NAME.
     """
 
     key: str
@@ -50,23 +53,23 @@
         )
 
     def retained_items(self) -> Set[str]:
-        """Return what takes room for longer: models held and not dropped, and late ones."""
+        """Return what keeps occupying memory: models that stay loaded, and unanswered loads."""
         held = self.models.keys() - self.unloading
         return held | self.unanswered if self.unanswered else held
 
     def has_cached_weights(self, model: str) -> bool:
-        """Tell whether the engine can load a model without the weight store."""
+        """Return whether the engine can load a model without the weight store."""
         return model in self.in_memory or model in self.on_disk
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What is asked of one item: requests that wait for it now, and engine seconds a second.
+    """Demand for one item: requests that wait for it now, and engine seconds per second.
 
-    ``rate`` holds a peak for half a minute, so that a copy lasts from one rare request to the
-    next. ``recent`` is that of the last seconds: what moved away shows there at once. Without a
-    word of its own it is the rate. ``queued`` are prompt tokens that are held back from the
-    engines that have it, over some seconds.
+    ``peak_rate`` holds a peak for half a minute, so that a copy is kept from one rare request to
+    the next. ``recent_rate`` covers the last seconds, so that demand that moved away shows at once;
+    None means that it equals the peak. ``withheld_tokens`` are prompt tokens that are held back
+    from the engines that hold the item, averaged over some seconds.
     """
 
     waiting: int = 0
@@ -76,16 +79,16 @@
 
     @property
     def current_rate(self) -> float:
-        """Return the engine seconds a second asked for now."""
+        """Current demand in engine seconds per second."""
         return self.peak_rate if self.recent_rate is None else self.recent_rate
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One order to give next.
+    """One order to send next.
 
-    ``room_for`` is the model that an unload makes room for; ``running`` are the requests that run
-    there for what is ordered, as far as was known.
+    ``evicted_for`` is the model that an unload frees memory for; ``running`` is the known number of
+    requests that run there for the ordered item.
     """
 
     engine: str
@@ -102,17 +105,18 @@
 
 @dataclass
 class Draft:
-    """The plan while it is made. ``taken`` engines have a step already: each plan gives one.
+    """The state of a plan while it is made. ``ordered_engines`` already have a step: each gets one.
 
-    ``promised`` has the model that each engine was last emptied for. Failure guarded against: an
-    engine that unloads is busy, so the next plan makes room on another one too, and what was made
-    free is filled with something else; models then went round between engines without an end.
+    ``reserved`` maps each engine to the model that it was last emptied for. Failure guarded
+    against: an engine that unloads is busy, so the next plan frees memory on another engine as
+    well, and the freed memory is filled with another model; models then move between engines
+    without end.
 
-    ``heard`` tells that what runs on engines is known. ``stream`` is how many seconds a request
-    runs on an engine, on average.
+    ``running_known`` is set when the requests that run on engines are known. ``stream_seconds`` is
+    how long a request runs on an engine on average.
 
-    ``crowded``, ``worth`` and ``victims`` have what was found of models, of copies by engine and
-    model, and of what may make room on an engine for a model that is crowded or not.
+    ``overloaded``, ``copy_values`` and ``victims`` cache results: by model, by engine and model,
+    and by engine, eviction level and whether the model to load is overloaded.
     """
 
     spec: EngineSpec
@@ -138,7 +142,7 @@
     def _holders(self) -> dict[str, list[EngineView]]:
         """The engines that hold or load each model.
 
-        What engines hold stays the same while a plan is made, so it is looked for once.
+        Computed once, as what engines hold does not change while a plan is made.
         """
         found: dict[str, list[EngineView]] = {}
         for engine in self.engines.values():
@@ -156,7 +160,7 @@
 
     @cached_property
     def ready_adapters(self) -> frozenset[tuple[str, str]]:
-        """All adapters that can serve somewhere, with their models."""
+        """All adapters that can serve somewhere, as (model, adapter)."""
         return frozenset(
             (model, adapter)
             for model, engines in self._ready.items()
@@ -166,7 +170,7 @@
 
     @cached_property
     def adapter_demand(self) -> dict[str, list[float]]:
-        """The engine seconds a second asked now of each adapter, by its model."""
+        """The current demand for each adapter in engine seconds per second, by its model."""
         found: dict[str, list[float]] = {}
         for item, row in self.demand.items():
             model, _, adapter = item.partition("/")
@@ -176,23 +180,26 @@
 
     @cached_property
     def free_mb(self) -> dict[str, float]:
-        """The megabytes left for models on each engine.
+        """The free memory for models on each engine, in megabytes.
 
-        Room for every adapter place is always kept: an adapter's load then never needs a look at
-        the models, and one on its way that nobody knows of can't overfill the engine. So is that
-        of a model whose load may arrive late.
+        Memory for every adapter slot is always kept free: the load of an adapter then never depends
+        on the models, and a load under way that is not known cannot overfill the engine. The same
+        holds for models whose load is unanswered.
         """
         sizes = {name: model.weights_mb for name, model in self.spec.models.items()}
         largest = max((model.adapter_mb for model in self.spec.models.values()), default=0.0)
-        room = self.spec.weights_mb - self.spec.adapter_places * largest
+        capacity_mb = self.spec.weights_mb - self.spec.adapter_places * largest
         return {
-            key: room - sum(sizes.get(name, 0.0) for name in engine.retained_items())
+            key: capacity_mb - sum(sizes.get(name, 0.0) for name in engine.retained_items())
             for key, engine in self.engines.items()
         }
 
     @cached_property
     def utilization(self) -> dict[str, float]:
-        """The engine seconds a second asked of each engine, each model's over all its copies."""
+        """The demand on each engine in engine seconds per second.
+
+        The demand for a model is divided evenly among its copies.
+        """
         found = dict.fromkeys(self.engines, 0.0)
         for model, engines in self._holders.items():
             share = current_demand(self, model) / len(engines)
@@ -209,17 +216,17 @@
         return self._ready.get(model, ())
 
     def add(self, step: Step) -> None:
-        """Add a step."""
+        """Add a step, and remove the copy that it unloads."""
         self.ordered_engines.add(step.engine)
         self.steps.append(step)
         if step.action is Action.UNLOAD and not step.adapter:
             self._remove_copy(step)
 
     def _remove_copy(self, step: Step) -> None:
-        """Take a copy for gone, so that the same plan drops no more copies than may go.
+        """Count a copy as gone, so that the same plan unloads no more copies than allowed.
 
-        Failure guarded against: each of four engines makes room by a copy of the same model, as it
-        has three others, and one plan unloads nearly all of them.
+        Failure guarded against: each of four engines evicts its copy of the same model, as it sees
+        three others, and one plan unloads nearly all of them.
         """
         for rows in (self._holders, self._ready):
             rows[step.model] = [e for e in rows.get(step.model, ()) if e.key != step.engine]
@@ -234,7 +241,7 @@
 
 
 def sum_by_model(demand: Mapping[str, Demand]) -> dict[str, Demand]:
-    """Return the demand for each model, its adapters' included."""
+    """Return the demand for each model, with that of its adapters."""
     found: dict[str, list[Demand]] = {}
     for item, row in demand.items():
         found.setdefault(item.partition("/")[0], []).append(row)
@@ -250,15 +257,15 @@
 
 
 def current_demand(draft: Draft, model: str) -> float:
-    """Return the engine seconds a second asked of a model now."""
+    """Return the current demand for a model in engine seconds per second."""
     return model_demand(draft, model).current_rate
 
 
 def peak_demand(draft: Draft, model: str) -> float:
-    """Return the engine seconds a second asked of a model, at its peak of late."""
+    """Return the recent peak of the demand for a model in engine seconds per second."""
     return model_demand(draft, model).peak_rate
 
 
 def in_use(draft: Draft, model: str) -> bool:
-    """Tell whether requests for a model are likely to run now."""
+    """Return whether requests for a model are likely to run now."""
     return current_demand(draft, model) >= IDLE_DEMAND
--- a/peridotdock/decisions/eviction.py
+++ b/peridotdock/decisions/eviction.py
@@ -1,8 +1,8 @@
-"""Which copies of models make room on an engine for another.
+"""Which copies of models are evicted from an engine to free memory for another model.
 
-Load pattern: engines are full, and what requests wait for needs the room of something else. Idle
-copies go first, the last copy of what is asked for last, and what is in use only for requests that
-wait.
+Load pattern: engines are full, and a model that requests wait for needs memory that another one
+occupies. Idle copies are evicted first and the last copy of a model in demand last; copies in use
+are evicted only for requests that wait.
 """
 
 import math
@@ -13,25 +13,25 @@
 from peridotdock.decisions.draft import Draft, EngineView, current_demand, in_use, model_demand
 from peridotdock.deployment import Model
 
-# What a last copy is worth beyond its demand: when it must come from the weight store again, and
-# when its engine has the weights at hand and is back with it within about a second.
+# Value of a last copy beyond its demand: when it would have to come from the weight store again,
+# and when its engine has cached weights and can load it again within about a second.
 LAST_COPY_VALUE = 1.0
 CACHED_LAST_COPY_VALUE = 0.2
-# What a copy in use is worth beyond its demand: its unload takes as long as its longest stream.
+# Value of a copy in use beyond its demand: its unload takes as long as its longest stream.
 USED_COPY_VALUE = 1.5
-# What a copy is worth beyond its demand, before that is known, when the platform or the host that
-# ordered before has put its model on several engines: it will be asked for.
+# Value of a copy beyond its demand, before that is known, when the platform or the previous planner
+# has put its model on several engines, which means that requests for it are expected.
 SPREAD_COPY_VALUE = 2.0
-# How many times as much as of a model in use must be asked of another that takes its last copy: a
-# change of places costs both some seconds.
+# How many times the demand of a model in use another must have to evict its last copy: swapping
+# them costs both models some seconds.
 OUTWEIGH_FACTOR = 2.0
-# Weight of the peak of late in a copy's worth, beside the demand of now: what fell silent may come
-# back, but goes before what is asked for.
+# Weight of the recent peak in a copy's value, beside the current demand: a model without requests
+# may be requested again, but is evicted before one in demand.
 PEAK_WEIGHT = 0.1
 
 
 class EvictionLevel(IntEnum):
-    """What may make room for a model: each claim beside what the one before it allows."""
+    """What may be evicted for a model; each level adds to what the previous one allows."""
 
     NOTHING = 0
     SURPLUS = 1
@@ -42,11 +42,11 @@
 def find_victims(
     draft: Draft, engine: EngineView, model: Model, level: EvictionLevel
 ) -> Sequence[str] | None:
-    """Return the models to unload so that another fits, least wanted first; None if none may go.
+    """Return the models to unload so that another fits, least valuable first; None if none will do.
 
-    Failure guarded against: all hosts were killed, and a tenth of a second later the one that
-    orders makes room for the first requests by the models that the next ones are for. It has not
-    heard of those, and each unload waits for them to end.
+    Failure guarded against: all hosts were killed, and a tenth of a second later the new planner
+    evicts models for the first requests that wait. The next requests are for these models, which it
+    cannot know yet, and each unload waits for such requests to end.
     """
     needed = 0.0 if model.name in engine.unanswered else model.weights_mb
     missing = needed - draft.free_mb[engine.key]
@@ -67,23 +67,24 @@
 def rank_victims(
     draft: Draft, engine: EngineView, wanted: str, level: EvictionLevel
 ) -> Sequence[str]:
-    """Return the models on an engine that may make room, least wanted first.
+    """Return the models on an engine that may be evicted, least valuable first.
 
-    Which copies in use may go depends on the model that is wanted; which others may go, only on the
-    claim and on whether that one is crowded. So the same few answers serve for nearly all models.
+    Which copies in use may be evicted depends on the model that is wanted. For other copies it
+    depends only on the level and on whether that model is overloaded, so a few cached results serve
+    nearly all models.
     """
     if level is EvictionLevel.USED:
         return compute_victims(draft, engine, wanted, level)
-    place = engine.key, level, is_overloaded(draft, wanted)
-    if place not in draft.victims:
-        draft.victims[place] = compute_victims(draft, engine, wanted, level)
-    return draft.victims[place]
+    key = engine.key, level, is_overloaded(draft, wanted)
+    if key not in draft.victims:
+        draft.victims[key] = compute_victims(draft, engine, wanted, level)
+    return draft.victims[key]
 
 
 def compute_victims(
     draft: Draft, engine: EngineView, wanted: str, level: EvictionLevel
 ) -> Sequence[str]:
-    """Work out which models on an engine may make room, least wanted first."""
+    """Compute which models on an engine may be evicted, least valuable first."""
     allowed = [n for n in engine.models if may_evict(draft, engine, n, wanted, level)]
     return sorted(allowed, key=lambda name: copy_value(draft, engine, name))
 
@@ -91,11 +92,11 @@
 def may_evict(
     draft: Draft, engine: EngineView, name: str, wanted: str, level: EvictionLevel
 ) -> bool:
-    """Tell whether a copy may make room: it is not waited for, and not needed where it is.
+    """Return whether a copy may be evicted: no request waits for it and its engine can spare it.
 
-    Failure guarded against: a copy in use is unloaded, the engine takes no order until the last of
-    its streams has ended, for five seconds, and the model is asked for again meanwhile. So a copy
-    in use goes only for requests that wait and find no other room.
+    Failure guarded against: a copy in use is unloaded, its engine takes no order for five seconds
+    until the last of its streams has ended, and meanwhile the model is requested again. A copy in
+    use is therefore evicted only for requests that wait and find no other memory.
     """
     if name in engine.loading or model_demand(draft, name).waiting:
         return False
@@ -114,7 +115,7 @@
 
 
 def outweighs(draft: Draft, wanted: str, name: str) -> bool:
-    """Tell whether a model in use may lose a copy to another that requests wait for."""
+    """Return whether a model in use may lose a copy to another model that requests wait for."""
     copies = len(draft.holders(name))
     if copies > kept_copies(draft, name):
         return True
@@ -124,15 +125,15 @@
 
 
 def copy_value(draft: Draft, engine: EngineView, name: str) -> float:
-    """Return what a copy is worth: its demand, shared by all copies, and being the last one."""
-    place = engine.key, name
-    if place not in draft.copy_values:
-        draft.copy_values[place] = compute_copy_value(draft, engine, name)
-    return draft.copy_values[place]
+    """Return the value of a copy: its share of the demand, and what being the last copy adds."""
+    key = engine.key, name
+    if key not in draft.copy_values:
+        draft.copy_values[key] = compute_copy_value(draft, engine, name)
+    return draft.copy_values[key]
 
 
 def compute_copy_value(draft: Draft, engine: EngineView, name: str) -> float:
-    """Work out what a copy is worth."""
+    """Compute :func:`copy_value` without the cache of the draft."""
     copies = len(draft.holders(name))
     last = CACHED_LAST_COPY_VALUE if engine.has_cached_weights(name) else LAST_COPY_VALUE
     found = model_demand(draft, name)
@@ -143,12 +144,12 @@
 
 
 def eviction_cost(draft: Draft, engine: EngineView, victims: Sequence[str]) -> float:
-    """Return what making room costs, to be weighed against seconds of loading."""
+    """Return the cost of evicting copies, comparable to seconds of loading."""
     empty = max((unload_wait_seconds(draft, engine, name) for name in victims), default=0.0)
     return empty + sum(0.1 + 10.0 * copy_value(draft, engine, name) for name in victims)
 
 
 def unload_wait_seconds(draft: Draft, engine: EngineView, name: str) -> float:
-    """Return how long an unload would wait for the requests that run: the longest ends it."""
+    """Return how long an unload would wait for running requests: the longest one decides."""
     running = engine.running_requests(name)
     return draft.stream_seconds * (0.5 + math.log(running)) if running else 0.0
--- a/peridotdock/decisions/overload.py
+++ b/peridotdock/decisions/overload.py
@@ -1,44 +1,45 @@
-"""What a host that is behind with its work does: whether it takes a request, whether it is ready.
+"""Decisions of a host whose event loop is behind: whether it takes a request, whether it is ready.
 
-Each step of a request waits for the loop. So a host whose turns last long can tell beforehand that
-an answer will come too late, and says so at once, with the promise that nothing has run.
+Each step of a request waits for the loop. A host whose loop iterations take long can therefore
+predict that an answer will be too late, and refuses at once with the guarantee that nothing has
+run.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
 
-# Turns of the loop from the choice of an endpoint to the answer written, on a kept connection;
-# counted on a host whose loop was made to turn without pause.
+# Loop iterations from the choice of an endpoint to the written answer, on a kept-alive connection;
+# counted on a host whose loop was made to iterate without pause.
 ITERATIONS_TO_ANSWER = 5
-# Seconds that a turn lasts up to which a host is not behind: the steps of an answer take less than
-# a tenth of a second then.
+# Longest iteration up to which a host is not behind: the steps of an answer then take less than a
+# tenth of a second.
 NORMAL_ITERATION_SECONDS = 0.016
-# Seconds that a timer is late from which on a host counts as behind. A new connection's first
-# request is read four turns after its coming, and callers wait one second for that.
+# Timer lateness from which a host counts as behind. The first request on a new connection is read
+# four iterations after it arrives, and callers wait one second for that.
 BEHIND_SECONDS = 0.2
-# Seconds for which a host must have been behind before it says that it isn't ready. One long turn,
-# as a large configuration brings, is over when it is noticed, and shows for two seconds.
+# How long a host must have been behind before it reports that it is not ready. A single long
+# iteration, as a large configuration causes, is over when it is noticed, and shows for two seconds.
 UNREADY_SECONDS = 2.5
-# Descriptors left below which a host takes nothing new: each request in work may need one more, and
-# without any the system takes no connection for a second at a time.
+# Free file descriptors below which a host takes nothing new: each request in work may need one
+# more, and without any the system accepts no connection for a second at a time.
 MIN_FREE_DESCRIPTORS = 64
-# Seconds until a caller may come back: it asks another host, so it need not wait for this one. The
-# spread keeps callers that were refused together from coming back together.
+# Seconds until a caller may retry: it uses another host, so it need not wait for this one. The
+# spread keeps callers that were refused together from retrying together.
 RETRY_SECONDS = 0.2
 RETRY_SPREAD = 0.5
 
 
-# Seconds that a new connection to an endpoint may take. One whose machine is dark answers never,
-# and a request must get to another one in its time.
+# Timeout of a new connection to an endpoint. An unreachable machine never answers, and the request
+# must reach another endpoint before its deadline.
 CONNECT_SECONDS = 0.25
-# Share of the time left that a connection may take at most: it must end as "not connected", which
-# tells of the endpoint, and not as the deadline, which does not.
+# Largest share of the remaining time for a connection: it must fail as "not connected", which
+# counts against the endpoint, and not by the deadline, which does not.
 CONNECT_SHARE = 0.8
 
 
 class RefusalReason(StrEnum):
-    """Why a host takes no request."""
+    """Why a host refuses a request."""
 
     NO_TIME = "its time is over"
     TOO_LATE = "its answer would come too late"
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostState:
-    """How a host is. Times in seconds; ``free`` descriptors are None when unknown."""
+    """State of a host. Times in seconds; ``free_descriptors`` is None when unknown."""
 
     lag: float
     behind_seconds: float
@@ -56,7 +57,7 @@
 
 
 def check_host(state: HostState) -> RefusalReason | None:
-    """Return why a host isn't ready for anything new, or None."""
+    """Return why a host is not ready for anything new, or None."""
     if state.free_descriptors is not None and state.free_descriptors < MIN_FREE_DESCRIPTORS:
         return RefusalReason.DESCRIPTORS
     if state.lag >= BEHIND_SECONDS and state.behind_seconds >= UNREADY_SECONDS:
@@ -65,11 +66,13 @@
 
 
 def check_send(left: float, expected: float, iteration: float) -> RefusalReason | None:
-    """Return why a request is not to be sent, or None.
+    """Return why a request must not be sent, or None.
 
-    ``left`` is the time it has, ``expected`` how long its endpoint should take, ``turn`` how long a
-    turn of the loop lasts at present. Failure guarded against: a request that may run once only is
-    sent on with next to no time left, runs, and its caller is told 504, which says nothing.
+    ``left`` is the time until its deadline, ``expected`` how long its endpoint should take and
+    ``iteration`` the current duration of a loop iteration, all in seconds.
+
+    Failure guarded against: a request that may run only once is sent with next to no time left,
+    runs, and its caller gets a 504, which leaves the outcome unknown.
     """
     if left <= 0:
         return RefusalReason.NO_TIME
@@ -79,14 +82,15 @@
 
 
 def connect_timeout(left: float) -> float:
-    """Return how long a new connection to an endpoint may take.
+    """Return the timeout of a new connection to an endpoint, in seconds.
 
-    Failure guarded against: an endpoint has gone dark, and each request's time ends while it waits
-    for a connection. Nothing is learnt, the next one is sent there again, and all are told 504.
+    Failure guarded against: an endpoint's machine is down, and each request reaches its deadline
+    while it waits for a connection. The failure is not counted, the next request is sent there
+    again, and all callers get a 504.
     """
     return min(CONNECT_SECONDS, CONNECT_SHARE * left)
 
 
 def retry_after(draw: Callable[[], float]) -> float:
-    """Return when a refused caller may come back; ``draw`` gives a number from 0 to 1."""
+    """Return when a refused caller may retry; ``draw`` returns a number from 0 to 1."""
     return RETRY_SECONDS * (1 + RETRY_SPREAD * (draw() - 0.5))
--- a/peridotdock/decisions/pacing.py
+++ b/peridotdock/decisions/pacing.py
@@ -1,11 +1,11 @@
-"""Which prompt goes to which engine next, and when: one queue over the prompts of all hosts.
-
-Load pattern: callers of several hosts come within a tenth of a second. An engine reads prompts
-between the tokens of the streams that run on it, so all of these pause while it reads, and no host
-knows what the others have just sent. One host therefore says for all when a prompt may be sent: in
-no span as long as the shortest pause that callers accept does an engine get more to read than fits
-between two events. What doesn't fit waits for some hundredths of a second, the most urgent first.
-What can't be in time any more goes behind what can.
+"""Queue over the prompts of all hosts: which prompt is sent to which engine next, and when.
+
+Load pattern: requests reach several hosts within a tenth of a second. An engine prefills prompts
+between the tokens of the streams that run on it, so all of these pause during prefill, and no host
+knows what the others have just sent. One host, the hub, therefore decides for all when a prompt may
+be sent: in no window as long as the shortest pause that callers accept does an engine get more
+prefill than fits between two events. A prompt that does not fit waits for some hundredths of a
+second, and the most urgent goes first. Prompts that can no longer be in time go last.
 """
 
 import math
@@ -16,19 +16,19 @@
 
 from peridotdock.decisions.choice import Candidate, Prediction, RequestCost, choose, uncached_tokens
 
-# Share of the accepted pause that is planned with: events are some milliseconds on their way.
+# Share of the accepted pause that is planned with: events take some milliseconds to arrive.
 PAUSE_SHARE = 0.87
-# Share of the accepted pause that the tokens of an event take, before any was measured.
+# Share of the accepted pause that the tokens of an event take, before any were measured.
 EVENT_SHARE = 0.25
-# Least share of the accepted pause that prompts may take, however slow an engine's events are.
+# Smallest share of the accepted pause that prefill may take, however slow an engine's events are.
 MIN_PREFILL_SHARE = 0.2
-# Seconds over which an engine's share of urgent prompts is averaged, and the most that it counts
-# as: what is late waits for what the urgent ones leave.
+# Time over which an engine's share of urgent prompts is averaged, and the largest value it counts
+# as: late prompts wait for what the urgent ones leave.
 URGENT_AVERAGE_SECONDS = 1.0
 MAX_URGENT_SHARE = 0.95
-# How the bound follows what streams show while an engine is given nearly all that it may: looked at
-# each second, it grows when the longest pause of some streams keeps below a share of what callers
-# accept, and shrinks when one comes near that.
+# How the bound follows the pauses of streams while an engine is given nearly all that it may be.
+# Checked each second, it grows when the longest pause of several streams stays below a share of
+# what callers accept, and shrinks when one comes near that.
 CONTROL_INTERVAL_SECONDS = 1.0
 MIN_GAPS = 5
 MIN_SCHEDULED_SHARE = 0.8
@@ -36,38 +36,39 @@
 LONG_PAUSE_SHARE = 0.93
 GROWTH_FACTOR = 1.15
 MAX_FACTOR = 4.0
-# Seconds until an engine whose places are all taken is looked at again.
+# Seconds until an engine without a free slot is checked again.
 FULL_RECHECK_SECONDS = 0.02
-# Seconds of reading that an engine has before it at most when it is given more: the next prompt is
-# there when one is read, and what comes meanwhile may still go before it.
+# Longest prefill backlog at which an engine is given more: the next prompt is there when one is
+# done, and more urgent prompts that arrive meanwhile may still go first.
 PREFILL_LEAD_SECONDS = 0.03
-# Seconds after which the hub has surely heard that a prompt was read: two words between hosts.
+# Seconds after which the hub has surely received the report of a prefill: two messages between
+# hosts.
 REPORT_DELAY_SECONDS = 0.4
-# Seconds between two looks at prompts whose engines are all queued for, to find those that wait in
-# vain.
+# Interval of full scans, which include prompts whose engines all have queued prompts, to find those
+# that cannot be sent in time.
 FULL_SCAN_SECONDS = 0.05
-# Shortest time until the queue is looked at again.
+# Shortest time until the queue is checked again.
 MIN_RECHECK_SECONDS = 0.002
 
 
 @dataclass(frozen=True, slots=True)
 class PaceLimit:
-    """How much reading an engine gets: ``reading`` seconds of it in any ``window`` seconds."""
+    """How much prefill an engine gets: ``prefill`` seconds in any ``window`` seconds."""
 
     window: float
     prefill: float
 
     @property
     def share(self) -> float:
-        """Return the share of its time that an engine reads at most."""
+        """Largest share of its time that an engine spends on prefill."""
         return min(1.0, self.prefill / self.window) if self.window else 1.0
 
 
 def limit_pace(pause: float, event: float | None, factor: float = 1.0) -> PaceLimit:
     """Return the limit that keeps streams from pausing for longer than ``pause`` seconds.
 
-    ``event`` is the time between two events on an engine that reads nothing, None when unknown;
-    ``factor`` what :class:`PaceControl` has found.
+    ``event`` is the time between two events on an engine without prefill, None when unknown;
+    ``factor`` is that of :class:`PaceControl`.
     """
     tokens = EVENT_SHARE * pause if event is None else event
     prefill = PAUSE_SHARE * pause - tokens
@@ -75,11 +76,12 @@
 
 
 class PaceControl:
-    """Finds out how much an engine bears beyond what is safe for any.
+    """Finds out how much prefill an engine handles beyond what is safe for any engine.
 
-    Engines that read prompts in small pieces give tokens all the while, so their streams may hardly
-    pause however much they read. Where streams keep well within their pause although an engine got
-    all that it may, more is tried; after a pause that was too long, less, and more slowly again.
+    Engines with chunked prefill generate tokens all the while, so their streams may hardly pause
+    however much they prefill. The factor grows where streams stay well within their pause although
+    an engine got all that it may; a pause that was too long resets it, and it grows again step by
+    step.
     """
 
     def __init__(self) -> None:
@@ -91,7 +93,10 @@
     def record_gap(
         self, now: float, gap: float, pause: float, scheduled: float, limit: PaceLimit
     ) -> None:
-        """Learn from two events of a stream at an engine that was ``given`` so much to read."""
+        """Record the gap between two events of a stream.
+
+        ``scheduled`` are the seconds of prefill that its engine was given.
+        """
         if scheduled < MIN_SCHEDULED_SHARE * limit.prefill:
             return
         self._seen += 1
@@ -109,8 +114,8 @@
 class QueuedPrompt:
     """A prompt that a host wants to send. Times are monotonic seconds of the host that decides.
 
-    It must be sent until ``send_by`` to be answered in time, and its caller leaves at ``leave_by``.
-    A ``picky`` one may not go to all engines that serve its item.
+    It must be sent by ``send_by`` to be answered in time, and its caller disconnects at
+    ``disconnect_by``. A ``restricted`` prompt may not go to all engines that serve its item.
     """
 
     id: Hashable
@@ -124,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A prompt that may be sent now, to the endpoint that was found for it."""
+    """A prompt that may be sent now, and the endpoint that was chosen for it."""
 
     prompt: QueuedPrompt
     prediction: Prediction
@@ -132,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Denial:
-    """A prompt that would wait for longer than its caller stays; ``wait`` in seconds."""
+    """A prompt that would wait longer than its caller stays; ``wait`` is in seconds."""
 
     prompt: QueuedPrompt
     wait: float
@@ -142,7 +147,7 @@
 
 
 class PrefillSchedule:
-    """What one engine reads, one prompt after the other, by what it was given."""
+    """The prefills of one engine, one after the other, as estimated from the prompts sent to it."""
 
     def __init__(self) -> None:
         self._prefills: deque[tuple[float, float]] = deque()
@@ -154,16 +159,16 @@
             self._prefills.popleft()
 
     def scheduled_seconds(self, now: float, limit: PaceLimit) -> float:
-        """Return the seconds that it has read or is still to read since a window ago."""
+        """Return the seconds of prefill, done or still to do, since the window began."""
         self._trim(now, limit.window)
         since = now - limit.window
         return sum(end - max(begin, since) for begin, end in self._prefills)
 
     def earliest_start(self, seconds: float, now: float, limit: PaceLimit) -> float:
-        """Return when a prompt that it reads for so long may be given.
+        """Return the earliest time at which a prompt of so many seconds of prefill may be sent.
 
-        In the window that ends with its reading there may be ``limit.reading`` in all. Where a
-        window may be read through, only what is before it counts.
+        The window that ends with its prefill may have ``limit.prefill`` seconds in all. If a whole
+        window may be prefill, only the backlog counts.
         """
         lead = now + max(0.0, self.backlog(now) - PREFILL_LEAD_SECONDS)
         if limit.prefill >= limit.window:
@@ -172,14 +177,14 @@
         left = max(0.0, limit.prefill - seconds)
         for begin, end in reversed(self._prefills):
             if end - begin > left:
-                # What was read after this moment still fits beside the prompt.
+                # Prefill after this moment still fits into the window with the prompt.
                 full = end - left
                 return max(lead, full + limit.window - seconds)
             left -= end - begin
         return lead
 
     def schedule(self, seconds: float, now: float, urgent: bool) -> None:
-        """Count a prompt that is sent now; ``urgent`` tells that it is in time."""
+        """Add a prompt that is sent now; ``urgent`` is set when it is in time."""
         begin = now + self.backlog(now)
         self._prefills.append((begin, begin + seconds))
         self._urgent = self._urgent_rate(now) + urgent * seconds / URGENT_AVERAGE_SECONDS
@@ -189,20 +194,20 @@
         return self._urgent * math.exp((self._urgent_at - now) / URGENT_AVERAGE_SECONDS)
 
     def late_share(self, now: float, limit: PaceLimit) -> float:
-        """Return the share of what the engine may be given that urgent prompts leave."""
+        """Return the share of the engine's prefill limit that urgent prompts leave."""
         return 1.0 - min(MAX_URGENT_SHARE, self._urgent_rate(now) / limit.share)
 
     def backlog(self, now: float) -> float:
-        """Return the seconds until what was given is read."""
+        """Return the seconds until the scheduled prefills are done."""
         return max(0.0, self._prefills[-1][1] - now) if self._prefills else 0.0
 
     def started_since(self, at: float) -> int:
-        """Return how many prompts it has begun to read since a time within the window."""
+        """Return how many prefills have started since a time within the window."""
         return sum(begin > at for begin, _ in self._prefills)
 
 
 class Pacer:
-    """The queue of prompts of all hosts, and what each engine was given."""
+    """The queue of prompts of all hosts, and the prefill schedule of each engine."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -214,32 +219,32 @@
         return len(self._queue)
 
     def add(self, prompt: QueuedPrompt) -> None:
-        """Take a prompt into the queue."""
+        """Add a prompt to the queue."""
         self._queue[prompt.id] = prompt
 
     def drop(self, key: Hashable) -> None:
-        """Forget a prompt: nobody waits for it any more."""
+        """Remove a prompt that no caller waits for any more."""
         self._queue.pop(key, None)
 
     def scheduled_seconds(self, key: str, now: float, limit: PaceLimit) -> float:
-        """Return the seconds of reading that an engine was given in the last window."""
+        """Return the seconds of prefill that an engine was given in the last window."""
         schedule = self._schedules.get(key)
         return schedule.scheduled_seconds(now, limit) if schedule is not None else 0.0
 
     def prune(self, current: Container[str]) -> None:
-        """Forget what endpoints were given that are not among the ``living``."""
+        """Remove the schedules of endpoints that are not among the ``current`` ones."""
         for key in [key for key in self._schedules if key not in current]:
             del self._schedules[key]
 
     def dispatch(
         self, now: float, limit: PaceLimit, find_candidates: FindCandidates
     ) -> tuple[list[Grant | Denial], float]:
-        """Return the prompts that are decided now, and when to look again (maybe never).
+        """Return the prompts decided now, and when to check again (infinity if no prompt waits).
 
-        ``look`` gives the endpoints that may serve a prompt. One that doesn't fit anywhere keeps
-        its place at the engine that is free for it first, so that smaller ones don't pass it by.
-        Once all engines of an item are queued for, the rest of that item waits: a long queue is
-        looked through as a whole only now and then.
+        ``find_candidates`` returns the endpoints that may serve a prompt. A prompt that fits
+        nowhere reserves its place at the engine that is available first, so that smaller ones do
+        not overtake it. Once all engines of an item are reserved, the rest of that item waits: the
+        whole of a long queue is scanned only at intervals.
         """
         run = QueuePass(self._schedules, now, limit, self._rng)
         full_scan = now >= self._full_scan_at
@@ -257,10 +262,10 @@
 
 
 class QueuePass:
-    """One look through the queue, the most urgent prompts first.
+    """One pass over the queue, the most urgent prompts first.
 
-    ``free_at`` has when each engine will have room for more, with all that was queued for it so
-    far in this round. ``closed`` are the items whose engines are all queued for.
+    ``_available_at`` is when each engine will have capacity for more, after all that was queued for
+    it in this pass. ``saturated`` are the items whose engines all have queued prompts.
     """
 
     def __init__(
@@ -281,7 +286,7 @@
     def decide(
         self, prompt: QueuedPrompt, find_candidates: FindCandidates
     ) -> Grant | Denial | None:
-        """Return what becomes of a prompt now; None where it waits."""
+        """Return the decision on a prompt, or None if it waits."""
         candidates = [self._with_backlog(c, prompt.work) for c in find_candidates(prompt)]
         fitting = [
             c for c in candidates if c.key not in self._available_at and self._fits(c, prompt.work)
@@ -301,7 +306,10 @@
         return self._now > prompt.send_by
 
     def _wait_or_deny(self, prompt: QueuedPrompt, candidates: Sequence[Candidate]) -> Denial | None:
-        """Let a prompt wait for the engine that has room for it first, unless that is in vain."""
+        """Queue a prompt for the engine that has capacity first, or deny it.
+
+        It is denied if its caller would disconnect before.
+        """
         rows = [(self._earliest_start(c, prompt.work), c.key, c) for c in candidates]
         at, key, chosen = min(rows, default=(self._now + FULL_RECHECK_SECONDS, "", None))
         wait = at - self._now
@@ -318,14 +326,14 @@
         return None
 
     def _earliest_start(self, candidate: Candidate, work: RequestCost) -> float:
-        """Return when an engine has room for a prompt, behind what is queued for it already."""
+        """Return when an engine has capacity for a prompt, after what is queued for it already."""
         if candidate.key in self._available_at:
             return self._available_at[candidate.key]
         least = FULL_RECHECK_SECONDS if self._full(candidate) else MIN_RECHECK_SECONDS
         return max(self._ready_at(candidate, work), self._now + least)
 
     def _ready_at(self, candidate: Candidate, work: RequestCost) -> float:
-        """Return when an engine has read enough, and may get a request, to be given a prompt."""
+        """Return when an engine's prefill backlog and permits allow a prompt."""
         at = self._schedule(candidate.key).earliest_start(
             prefill_seconds(candidate, work), self._now, self._limit
         )
@@ -333,7 +341,7 @@
         return max(at, self._now + backlog, self._now + candidate.permit_wait)
 
     def _occupied_seconds(self, candidate: Candidate, work: RequestCost) -> float:
-        """Return the seconds until an engine that has just taken a prompt can take the next."""
+        """Return the seconds until an engine that has just got a prompt can take the next."""
         seconds = max(
             candidate.permit_interval, prefill_seconds(candidate, work) / self._limit.share
         )
@@ -347,15 +355,15 @@
         return self._ready_at(candidate, work) <= self._now and not self._full(candidate)
 
     def _full(self, candidate: Candidate) -> bool:
-        """Tell whether all places of an engine are taken, those just given away included."""
+        """Return whether all slots of an engine are occupied, including those just granted."""
         begun = self._schedule(candidate.key).started_since(self._now - FULL_RECHECK_SECONDS)
         return candidate.running + begun >= candidate.slots
 
     def _with_backlog(self, candidate: Candidate, work: RequestCost) -> Candidate:
-        """Return a candidate with what is ahead of the prompt.
+        """Return a candidate with the prompt tokens ahead of the prompt.
 
-        That is what it was given here and should not have read yet. Where hosts have heard of no
-        first token for longer than it takes them to tell, more is left than it should be.
+        These are the scheduled prefills that should not be done yet. Where hosts have reported no
+        first token for longer than a report takes, more is left than the schedule shows.
         """
         seconds = self._schedule(candidate.key).backlog(self._now)
         unreported = candidate.queued_tokens * work.seconds_per_token - REPORT_DELAY_SECONDS
@@ -371,10 +379,10 @@
 
 
 def prefill_seconds(candidate: Candidate, work: RequestCost) -> float:
-    """Return the seconds that an engine reads a prompt for."""
+    """Return how long an engine prefills a prompt, in seconds."""
     return candidate.slowness * uncached_tokens(candidate, work) * work.seconds_per_token
 
 
 def urgency(prompt: QueuedPrompt, now: float) -> tuple[bool, int, float]:
-    """Return what prompts are ordered by: those in time first, then by rank and time left."""
+    """Return the sort key of prompts: those in time first, then by rank and time left."""
     return now > prompt.send_by, prompt.rank, prompt.send_by
--- a/peridotdock/decisions/placing.py
+++ b/peridotdock/decisions/placing.py
@@ -1,10 +1,10 @@
-"""What engines should load and unload next, by what callers ask for. Pure functions.
+"""Plans what engines load and unload next, by the demand of callers.
 
-Load pattern: demand moves to other models within seconds, rare models are asked for at once, and
-an engine that held the only copy of a model is lost, while a load takes seconds and loads from
-the weight store are rationed. So what requests wait for goes first, on the engine that has the
-weights at hand; a last copy that is asked for is never dropped to make room for a second one; and
-a further copy is loaded only where it fits or where what makes room is not asked for.
+Load pattern: demand moves to other models within seconds, rare models are requested suddenly, and
+an engine that held the only copy of a model is lost, while a load takes seconds and loads from the
+weight store are rate limited. Models that requests wait for are therefore loaded first, on the
+engine that has cached weights. A last copy in demand is never evicted for a second copy of another
+model. A further copy is loaded only where it fits or where what it evicts is not in demand.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,11 +31,11 @@
 from peridotdock.decisions.eviction import EvictionLevel, eviction_cost, find_victims
 from peridotdock.deployment import EngineSpec, Model
 
-# Seconds of delay that an engine's load counts for when an engine is chosen: at a load of one,
+# Delay that an engine's utilization counts for when an engine is chosen: at a utilization of one,
 # requests wait for about this long.
 UTILIZATION_DELAY_SECONDS = 1.0
-# Seconds that a prompt token waiting at an engine counts for when an engine is chosen: about three
-# times what reading it takes, as the load that made it wait goes on.
+# Delay that a queued prompt token counts for when an engine is chosen: about three times its
+# prefill time, as the demand that queued it continues.
 TOKEN_DELAY_SECONDS = 0.0001
 
 
@@ -50,12 +50,13 @@
     stream_seconds: float = 0.0,
     running_known: bool = True,
 ) -> list[Step]:
-    """Return the orders to give next, one an engine at most.
+    """Return the orders to send next, at most one for each engine.
 
-    ``loads_left`` loads from the store may begin now. ``promised`` is the model that each engine
-    was emptied for and does not hold yet. ``held_back`` engines get no order. ``settled`` tells
-    that some seconds of demand are known, ``heard`` that all hosts had the time to tell what runs
-    where; ``stream`` is how many seconds a request runs.
+    ``loads_left`` loads from the weight store may begin now. ``reserved`` maps engines to the model
+    that memory was freed for and that they do not hold yet. ``excluded`` engines get no order.
+
+    ``demand_known`` is set once some seconds of demand are known, ``running_known`` once all hosts
+    had time to report what runs where. ``stream_seconds`` is how long a request runs.
     """
     rows = {engine.key: engine for engine in engines}
     by_model = sum_by_model(demand)
@@ -79,7 +80,7 @@
 
 
 def place_models(draft: Draft) -> None:
-    """Load what nobody holds and is asked for, then spare and further copies."""
+    """Load models in demand that no engine holds, then spare and further copies."""
     ranked = sorted(
         draft.spec.models.values(),
         key=lambda model: (
@@ -106,11 +107,12 @@
 
 
 def load_for_waiting(draft: Draft, model: Model) -> None:
-    """Load what requests wait for, in the room of a copy in use only where no other will do.
+    """Load a model that requests wait for; a copy in use is evicted for it only as a last resort.
 
-    Failure guarded against: the engine with the idle copies is just carrying out an order, another
-    one unloads a copy in use, and takes no order for seconds until its last stream has ended. So a
-    copy in use goes only for more requests than run on it, unless there is no other.
+    Failure guarded against: the engine with the idle copies is carrying out an order, so a copy in
+    use is unloaded on another engine, which takes no order for seconds until its last stream has
+    ended. While idle copies can be evicted later, a copy in use is evicted only if more requests
+    wait than run on it.
     """
     if load_on_best_engine(draft, model, EvictionLevel.IDLE, "asked for"):
         return
@@ -125,10 +127,10 @@
 def load_on_best_engine(
     draft: Draft, model: Model, level: EvictionLevel, reason: str, fewer_than: int | None = None
 ) -> bool:
-    """Order a load on the best engine, or an unload that makes room for it, by what may go.
+    """Order a load on the best engine, or an unload that frees memory for it.
 
-    ``fewer_than`` so many requests may run on the copies that go; None where nothing bounds them.
-    Return whether there was an engine for it, be it that the ration of loads is used up.
+    Fewer than ``fewer_than`` requests may run on the evicted copies; None sets no bound. Return
+    whether an engine was found, also when no load from the weight store may begin now.
     """
     options = []
     for engine in eligible_engines(draft, model.name):
@@ -160,7 +162,7 @@
 
 
 def expected_delay(draft: Draft, engine: EngineView) -> float:
-    """Return the seconds that a request would wait on an engine, about."""
+    """Return about how many seconds a request would wait on an engine."""
     return (
         engine.queued_tokens * TOKEN_DELAY_SECONDS
         + utilization_of(draft, engine) * UTILIZATION_DELAY_SECONDS
@@ -168,9 +170,10 @@
 
 
 def eligible_engines(draft: Draft, model: str) -> list[EngineView]:
-    """Return the engines that may load a model or make room for it now.
+    """Return the engines that may load a model or free memory for it now.
 
-    While one is being emptied for the model, others count only where it fits as they are.
+    While an engine is reserved for the model, others count only if the model fits without an
+    unload.
     """
     kept = model in draft.reserved.values()
     size = draft.spec.models[model].weights_mb
--- a/peridotdock/decisions/poison.py
+++ b/peridotdock/decisions/poison.py
@@ -1,23 +1,23 @@
-"""Which requests end the endpoints that run them, judged by what was at each when it ended.
+"""Finds requests that crash endpoints, by what was running on each when it ended.
 
-Load pattern: one request ends every endpoint that begins it, within a tenth of a second. Its caller
+Load pattern: one request ends every endpoint that starts it, within a tenth of a second. Its caller
 repeats it every second or two, several attempts at a time, at any host. Up to sixty other requests
-are on each endpoint when it ends; some of them are sent again and are at the next one, too.
+are on each endpoint when it ends; some of them are retried and are on the next one, too.
 """
 
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Ends of endpoints from which on a request is to blame. Two may be chance: a request that was at an
-# endpoint that failed is sent to another, which may fail as well. At each end an engine loses all
-# it holds and every stream on it, so no more are waited for than it takes to be sure.
+# Ended endpoints from which a request is blamed. Two may be a coincidence: a request from a failed
+# endpoint is sent to another, which may fail as well. At each end an engine loses all that it holds
+# and every stream on it, so the bound is as low as certainty allows.
 MIN_CRASHES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Which requests must not be sent; ``doubtful`` are those among them that may be innocent."""
+    """Requests that must not be sent; ``doubtful`` are those of them that may be harmless."""
 
     blocked: frozenset[str]
     doubtful: frozenset[str]
@@ -26,10 +26,10 @@
 def find_poison(crashes: Iterable[frozenset[str]]) -> Verdict:
     """Return the requests that explain why endpoints ended.
 
-    ``ends`` gives for each endpoint that ended the requests that it had just begun. The request at
-    the most ends is to blame for these, and they speak against no other. Requests that were at
-    equally many are blocked together, and are in doubt where no end has just one of them: one more
-    end, or an answer, tells them apart.
+    ``crashes`` has for each ended endpoint the requests that it had just started. The request with
+    the most ended endpoints is blamed for these, which then count against no other request.
+    Requests with equally many are blocked together; they are doubtful if no endpoint had just one
+    of them. One more ended endpoint, or an answer, tells them apart.
     """
     unexplained = list(crashes)
     blocked: set[str] = set()
--- a/peridotdock/decisions/quotas.py
+++ b/peridotdock/decisions/quotas.py
@@ -1,10 +1,10 @@
-"""Quotas of workspaces over all hosts: a bucket for each at the hub, asked only while it is low.
+"""Quotas of workspaces over all hosts: one bucket each at the hub, asked only while it is low.
 
-Load pattern: one workspace sends several times what it may, over dozens of hosts of which each sees
-a request of it now and then. A host's share of the quota is less than one request takes, so shares
-refuse what is within it. The hub's bucket is exact. It would cost a round trip for each request;
-but while much is left, hosts serve at once and tell later what they served. Such a bucket may fall
-below zero, and is filled up to zero again before more is taken from it.
+Load pattern: one workspace sends several times its quota, over dozens of hosts that each get one of
+its requests now and then. A host's share of the quota is less than one request takes, so fixed
+shares would refuse requests within the quota. The hub's bucket is exact, but would cost a round
+trip for each request. While much is left in it, hosts serve at once and report their usage later.
+Such a bucket may fall below zero, and must refill to zero before more is taken from it.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,25 +13,26 @@
 from peridotdock.limits import Bucket
 from peridotdock.workspaces import Quota
 
-# Share of a bucket below which hosts ask for each request: what is left above it is what they may
-# serve before they hear that it is low.
+# Share of a bucket below which hosts ask the hub for each request: what is left above it covers
+# what they serve before they learn that it is low.
 LOW_SHARE = 0.75
-# Least size of a bucket, in seconds of its rate: a quota without a burst still lets requests of one
-# moment pass.
+# Smallest capacity of a bucket, in seconds of its rate: a quota without a burst still admits
+# requests that arrive at the same moment.
 MIN_CAPACITY_SECONDS = 0.25
-# Shares of what operators let a quota be passed by: for a bucket's size, as two that count the same
-# requests do so some milliseconds apart; for what is in it when all counts were lost; and for hosts
-# that are gone for good but may be cut off.
+# Shares of the tolerance by which a quota may be exceeded: for a bucket's capacity, as two counts
+# of the same requests differ by some milliseconds; for the level of a bucket after all counts were
+# lost; and for hosts that are gone for good but may be partitioned.
 CAPACITY_SHARE = 0.25
 START_SHARE = 0.5
 GONE_SHARE = 0.25
-# Shortest and longest time, in seconds, after which a caller over its quota may come back.
+# Shortest and longest time after which a caller over its quota may retry.
 MIN_WAIT_SECONDS = 0.1
 MAX_WAIT_SECONDS = 10.0
-# Share of the rate in units, from which on what a host served is told again.
+# Change of a host's usage, as a share of the rate in units, from which it is reported again.
 REPORT_SHARE = 0.02
 
-# Seconds after which a host's word on what it served since a hub's is too old to be charged again.
+# Age from which a host's report of its usage since a hub's last update is too old to be charged
+# again.
 MAX_USAGE_AGE_SECONDS = 2.0
 
 Units = dict[str, int]
@@ -39,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How far a quota may be passed in any ``window`` seconds: by a share, and by some units."""
+    """How far a quota may be exceeded in any ``window`` seconds.
+
+    The excess is the share ``over`` of the quota, plus ``units``.
+    """
 
     window: float
     over: float
@@ -55,22 +59,22 @@
         return burst + CAPACITY_SHARE * self.excess(quota)
 
     def start(self, quota: Quota) -> float:
-        """Return the units in a bucket where what was used before is not known."""
+        """Return the initial units of a bucket whose earlier use is not known."""
         return min(self.capacity(quota), START_SHARE * self.excess(quota))
 
 
 def host_share(reached: int, known: int, over: float) -> float:
     """Return the part of each quota that a hub may give: that of the hosts it reaches.
 
-    Hosts that are cut into groups have a hub each, and must not be given more together than the
-    whole. A part of ``over``, the share by which a quota may be passed, makes up for hosts that are
-    gone for good.
+    Each group of a partitioned cluster has its own hub, and together they must not give more than
+    the whole. A part of ``over``, the share by which a quota may be exceeded, makes up for hosts
+    that are gone for good.
     """
     return min(1.0, max(1, reached) / max(1, known) * (1 + GONE_SHARE * over))
 
 
 class Buckets:
-    """A bucket for each workspace, of a size, with ``first`` units in one that is new."""
+    """One bucket per workspace; ``size`` gives its capacity, ``first`` the units of a new one."""
 
     def __init__(self, size: Callable[[Quota], float], first: Callable[[Quota], float]):
         self._size = size
@@ -78,11 +82,11 @@
         self._buckets: dict[str, Bucket] = {}
 
     def start(self, name: str, level: float, now: float) -> None:
-        """Give a bucket its level."""
+        """Set a bucket to a level."""
         self._buckets[name] = Bucket(level, now)
 
     def level(self, name: str, quota: Quota, share: float, now: float) -> float:
-        """Return the units that are left; below 0 more was used than there was."""
+        """Return the units that are left; below 0 more was used than available."""
         found = self._buckets.get(name)
         if found is None:
             found = self._buckets[name] = Bucket(self._first(quota) * share, now)
@@ -90,12 +94,12 @@
         return found.level
 
     def charge(self, name: str, quota: Quota, cost: float, share: float, now: float) -> None:
-        """Take units that have been used already."""
+        """Charge units that have been used already."""
         self.level(name, quota, share, now)
         self._buckets[name].level -= cost
 
     def take(self, name: str, quota: Quota, cost: float, share: float, now: float) -> float:
-        """Take a request's units; return 0, or the seconds after which there are some again."""
+        """Take a request's units; return 0, or the seconds until there are some again."""
         level = self.level(name, quota, share, now)
         if level > 0:
             self._buckets[name].level -= cost
@@ -106,9 +110,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a host has served by itself, in units by workspace.
+    """What a host has served on its own, in units by workspace.
 
-    ``totals`` count from the host's start, ``since`` from the last word of a hub.
+    ``totals`` count from the host's start, ``since`` from the last update of a hub.
     """
 
     totals: Units = field(default_factory=dict)
@@ -116,7 +120,7 @@
 
 
 class HostQuotas:
-    """One host's part: what it may serve without asking, and what it has served so."""
+    """One host's part: what it may serve without asking the hub, and its usage so far."""
 
     def __init__(self, tolerance: Tolerance) -> None:
         self._low: Mapping[str, int] | None = None
@@ -126,31 +130,34 @@
         self._local = Buckets(tolerance.start, tolerance.start)
 
     def update_low(self, low: Mapping[str, int] | None) -> None:
-        """Take the hub's word on the buckets that are low; None where it has said nothing yet.
+        """Set the buckets that the hub reported low; None before its first report.
 
-        Each word is an object of its own, also where it says the same again.
+        Each report is an object of its own, even if its content is unchanged.
         """
         if low is not self._low and low is not None:
             self._acknowledged = dict(self._totals)
         self._low = low
 
     def needs_hub(self, name: str) -> bool:
-        """Tell whether a workspace's next request needs the hub's word."""
+        """Return whether a workspace's next request needs a decision of the hub."""
         return self._low is None or name in self._low
 
     def count(self, name: str, cost: float) -> None:
-        """Count a request that is served without the hub's word; a negative cost takes it back."""
+        """Count a request that is served without asking the hub; a negative cost reverts it."""
         self._totals[name] = self._totals.get(name, 0.0) + cost
 
     def take_local(self, name: str, quota: Quota, cost: float, hosts: int, now: float) -> float:
-        """Serve by this host's own share while no hub answers; return 0, or seconds to wait."""
+        """Admit a request by this host's share while no hub answers.
+
+        Return 0, or the seconds to wait.
+        """
         wait = self._local.take(name, quota, cost, 1 / max(1, hosts), now)
         if wait == 0:
             self.count(name, cost)
         return wait
 
     def usage(self, quotas: Mapping[str, Quota]) -> Usage | None:
-        """Return what to tell the hub, None where it has changed too little."""
+        """Return the usage to report to the hub, None while it has changed too little."""
         if not any(self._differs(name, quota) for name, quota in quotas.items()):
             return None
         self._reported = dict(self._totals)
@@ -178,9 +185,9 @@
     def start(
         self, quotas: Mapping[str, Quota], low: Mapping[str, int] | None, share: float, now: float
     ) -> None:
-        """Begin to count for all, with what the hub before last said; None where none did.
+        """Start counting for all hosts from the low buckets that the previous hub reported.
 
-        Where none did, all hosts may have been lost together with what they had counted.
+        ``low`` is None if no hub reported any: all hosts may then have been lost with their counts.
         """
         tolerance = self._tolerance
         self._seen = {}
@@ -199,13 +206,13 @@
         now: float,
         age: float = 0.0,
     ) -> None:
-        """Charge what a host has served by itself; ``epoch`` tells its starts apart.
+        """Charge what a host has served on its own; ``epoch`` identifies its start.
 
-        ``age`` is how many seconds ago the host said so.
+        ``age`` is how many seconds ago the host reported it.
         """
         before = self._seen.get(host)
         if before is None:
-            # What it served before the last hub's word was charged by that hub.
+            # The previous hub charged what the host served before that hub's last update.
             more = dict(usage.since) if age < MAX_USAGE_AGE_SECONDS else {}
         elif before[0] != epoch:
             more = dict(usage.totals)
@@ -217,11 +224,11 @@
                 self._buckets.charge(name, quotas[name], units, share, now)
 
     def take(self, name: str, quota: Quota, cost: float, share: float, now: float) -> float:
-        """Take a request's units; return 0, or the seconds after which it may come back."""
+        """Take a request's units; return 0, or the seconds until it may be retried."""
         return self._buckets.take(name, quota, cost, share, now)
 
     def low(self, quotas: Mapping[str, Quota], share: float, now: float) -> Units:
-        """Return what is left in the buckets that are low, in steps of a twentieth of each."""
+        """Return the levels of the buckets that are low, in steps of a twentieth of each."""
         found = {}
         for name, quota in quotas.items():
             level = self._buckets.level(name, quota, share, now)
--- a/peridotdock/decisions/retry_budget.py
+++ b/peridotdock/decisions/retry_budget.py
@@ -1,24 +1,27 @@
-"""How many repeats a host may send to a service: its part of what all hosts may send together.
+"""Budget for the retries of one host to a service: its part of what all hosts may send together.
 
-Load pattern: a service in trouble fails many requests at once; repeats of all hosts would add to
-its load just then. The bound holds over any window and over all hosts, so each host counts only
-what it saw itself and takes a part of the fixed number that can't add up to more than the whole.
+Load pattern: a service in trouble fails many requests at once, and the retries of all hosts would
+add to its load at that moment. The bound holds over any window and over all hosts. Each host counts
+only its own requests and uses a part of the fixed number, so that the parts never add up to more
+than the whole.
 """
 
 from collections import deque
 
-# Share of the window's requests that is left unused: requests and repeats of one moment are
-# counted at the endpoint some milliseconds apart.
+# Share of the bound that is used: requests and retries of the same moment are counted at the
+# endpoint some milliseconds apart.
 USABLE_SHARE = 0.9
-# The fixed number is divided among so many hosts at least: one that has just started knows of few.
+# The fixed number is divided by at least this many hosts: one that has just started knows few
+# others.
 MIN_HOSTS = 8
 
 
 class RetryBudget:
-    """Repeats that this host may still send to one service. Times are monotonic seconds.
+    """Retries that this host may still send to one service. Times are monotonic seconds.
 
-    A host that has started again, at ``began``, has forgotten what it sent before. For one window
-    it leaves the fixed number alone, so that hosts that start again together keep the bound.
+    A restarted host has lost its count of what it sent before. For one window after its start, at
+    ``started``, it does not use the fixed number, so that hosts that restart together keep the
+    bound.
     """
 
     def __init__(self, share: float, extra: float, window: float, started: float = float("-inf")):
@@ -35,14 +38,17 @@
         self._trim(now)
 
     def take(self, now: float, hosts: int) -> bool:
-        """Take a repeat; false when there is none left. ``hosts`` share the fixed number."""
+        """Use one retry of the budget; return False when none is left.
+
+        ``hosts`` is the number of hosts that share the fixed number.
+        """
         if not self.available(now, hosts):
             return False
         self._retries.append(now)
         return True
 
     def available(self, now: float, hosts: int) -> bool:
-        """Tell whether there is a repeat left."""
+        """Return whether a retry is left."""
         self._trim(now)
         extra = self._extra if now >= self._extra_from else 0.0
         allowed = self._share * len(self._requests) + extra / max(MIN_HOSTS, hosts)
--- a/peridotdock/decisions/waiting.py
+++ b/peridotdock/decisions/waiting.py
@@ -1,33 +1,34 @@
-"""Whether a request waits for a model that no endpoint holds yet, and for how long.
+"""Whether and how long a request waits for a model that no endpoint holds yet.
 
-Load pattern: rare models and adapters are asked for at once, and demand moves to models of which no
-copy is left. A load takes seconds and a request has some; one that can still be answered in time
-waits here, and one that can't is refused at once with the time at which the model should be there.
+Load pattern: rare models and adapters are requested suddenly, and demand moves to models without a
+copy. A load takes seconds, and a request has some until its deadline. A request that can still be
+answered in time waits; another is refused at once with the time at which the model should be ready.
 """
 
 from dataclasses import dataclass
 
-# Seconds from a request's wish to an order's beginning: word to the host that orders, and back.
+# Time from the start of a wait to the start of an order: a message to the ordering host, and back.
 ORDER_DELAY_SECONDS = 0.3
-# Seconds that an adapter takes, order included, on a good day: ten for its load and the way there.
+# Usual time to load an adapter, including the order: ten milliseconds to load and the messages.
 ADAPTER_LOAD_SECONDS = 0.3
-# Seconds of a request's time that must be left when the model is there, to read its prompt.
+# Time before the deadline that must be left when the model is ready, for the prefill of the prompt.
 MIN_TIME_LEFT_SECONDS = 0.4
-# Share of the time left that a wait without any word may take, and its longest, in seconds: a host
-# that orders may just have been lost, and another takes over within six.
+# Share of the remaining time, and longest time, of a wait without any report: the ordering host may
+# just have been lost, and another takes over within six seconds.
 UNKNOWN_WAIT_SHARE = 0.6
 MAX_UNKNOWN_WAIT_SECONDS = 7.0
-# Longest and shortest time after which a refused caller is asked to come back, in seconds.
+# Longest and shortest time after which a refused caller is asked to retry.
 MAX_RETRY_SECONDS = 5.0
 MIN_RETRY_SECONDS = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Absence:
-    """Why a request can't be sent now. Times in seconds.
+    """Why a request cannot be sent now. Times in seconds.
 
-    ``coming`` is when a load that is under way should be done, None when none is known; ``load``
-    how long one takes, 0 where the model is there and only an adapter is missing.
+    ``time_left`` is the time until its deadline. ``ready_in`` is when a load under way should be
+    done, None when none is known. ``load_seconds`` is how long a load takes, 0 when only an adapter
+    of a held model is missing.
     """
 
     time_left: float
@@ -37,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Wait up to ``seconds``; or, where that is 0, refuse with ``retry_after``."""
+    """Wait up to ``seconds``; if that is 0, refuse with ``retry_after``."""
 
     seconds: float
     retry_after: float
 
 
 def decide_wait(absence: Absence) -> Wait:
-    """Return whether to wait for what is missing."""
+    """Return how long to wait for the missing item, or when the caller may retry."""
     expected = absence.ready_in
     if expected is None:
         expected = (
