--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 
 from peridotdock.context import Context
-from peridotdock.decisions.admission import judge_wait
+from peridotdock.decisions.admission import check_wait
 from peridotdock.decisions.choice import Candidate, Prediction, choose, predict
-from peridotdock.decisions.overload import judge_send, retry_after
+from peridotdock.decisions.overload import check_send, retry_after
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.requests import RelayRequest
 from peridotdock.relay.caller import CallerConnection
@@ -56,7 +56,7 @@
         if failed(found):
             return found
         remaining = req.deadline - self._ctx.clock.monotonic()
-        reason = judge_send(remaining, found.seconds, self._turns.median_length())
+        reason = check_send(remaining, found.seconds, self._turns.median_length())
         if reason is not None:
             return Failure(Kind.HOST_BEHIND, reason, retry_after(self._ctx.rng.random))
         return found
@@ -74,10 +74,10 @@
     ) -> GrantedEndpoint | Failure | None:
         """Ask when a prompt may be sent and to whom; None where this host is to choose."""
         candidates = self._candidates(req, progress)
-        accepting = [row for row in candidates if not row.rest]
+        accepting = [row for row in candidates if not row.backoff]
         if req.head.inference is None or not accepting:
             return None
-        avoid = find_suspects(accepting) | {row.key for row in candidates if row.rest}
+        avoid = find_suspects(accepting) | {row.key for row in candidates if row.backoff}
         if candidates[0].key not in progress.avoid:
             avoid |= progress.avoid
         return await self._grants.request_grant(req, progress.service, frozenset(avoid), caller)
@@ -94,7 +94,7 @@
             return None
         work = self._fleet.work(progress.service, inference)
         row = self._fleet.candidates_known([state], inference, frozenset(), "")[0]
-        row = replace(row, ahead=grant.ahead / work.per_token)
+        row = replace(row, queued_tokens=grant.ahead / work.seconds_per_token)
         return Prediction(row, predict(row, work), granted=True)
 
     async def _choose_locally(
@@ -106,14 +106,14 @@
         """
         while not caller.is_disconnected():
             rows = self._candidates(req, progress)
-            accepting = [row for row in rows if not row.opens_in]
+            accepting = [row for row in rows if not row.available_in]
             if rows and not accepting:
                 found = await self._waits.wait_until_accepting(req, caller, progress, rows)
                 if found is None:
                     continue
                 return found
             found = self._choose_among(accepting, req, progress)
-            if failed(found) or not found.candidate.limited:
+            if failed(found) or not found.candidate.rate_limited:
                 return found
             permit = await self._permits.request_permit(
                 self._fleet.states[found.candidate.key], caller=caller
@@ -131,7 +131,7 @@
         if found is None:
             return Failure(Kind.NO_ENDPOINT, progress.service, NO_ENDPOINT_RETRY_SECONDS)
         max_wait = req.first_event_deadline - self._ctx.clock.monotonic()
-        overload = judge_wait(found, work, max_wait, req.rank)
+        overload = check_wait(found, work, max_wait, req.rank)
         if overload is None or progress.maybe_ran:
             return found
         reason = f"a wait of {overload.wait:.2f} s, {overload.allowed:.2f} allowed"
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -18,7 +18,7 @@
     PaceControl,
     PaceLimit,
     Pacer,
-    PromptAsk,
+    QueuedPrompt,
     limit_pace,
 )
 from peridotdock.deployment import Deployment
@@ -118,8 +118,8 @@
         if pacer is not None and pause is not None:
             limit = self.limit(service)
             now = self._ctx.clock.monotonic()
-            given = pacer.given(key, now, limit)
-            self._control(service).note_gap(now, gap, pause, given, limit)
+            given = pacer.scheduled_seconds(key, now, limit)
+            self._control(service).record_gap(now, gap, pause, given, limit)
 
     def enqueue(self, host: str, frame: GrantWanted) -> None:
         """Take a host's prompt into the queue, and answer at once where it can be."""
@@ -134,12 +134,12 @@
         )
         work = self._fleet.work(frame.service, inference)
         send_by = (
-            now + frame.spare / 1000 - work.tokens * work.per_token - FIRST_TOKEN_OVERHEAD_SECONDS
+            now + frame.spare / 1000 - work.tokens * work.seconds_per_token - FIRST_TOKEN_OVERHEAD_SECONDS
         )
         item = name_wish(inference)
         stay_until = now + frame.stays / 1000
         pacer = self._pacers.setdefault(frame.service, Pacer(self._ctx.rng))
-        pacer.add(PromptAsk(key, item, work, frame.rank, send_by, stay_until, bool(frame.avoid)))
+        pacer.add(QueuedPrompt(key, item, work, frame.rank, send_by, stay_until, bool(frame.avoid)))
         self._schedule(frame.service)
         if key in self._queued_grants:
             self._send(host, GrantFrame("grant", frame.number, "", 0))
@@ -171,8 +171,8 @@
     def _schedule(self, service: str) -> None:
         now = self._ctx.clock.monotonic()
         pacer = self._pacers[service]
-        pacer.forget(self._fleet.states)
-        decided, next_at = pacer.pump(now, self.limit(service), self._candidates)
+        pacer.prune(self._fleet.states)
+        decided, next_at = pacer.dispatch(now, self.limit(service), self._candidates)
         for row in decided:
             self._answer(row)
         timer = self._timers.pop(service, None)
@@ -185,30 +185,30 @@
             )
 
     def _answer(self, row: Grant | Denial) -> None:
-        queued = self._queued_grants.pop(row.ask.id)
+        queued = self._queued_grants.pop(row.prompt.id)
         if isinstance(row, Denial):
             frame = GrantFrame("grant", queued.number, "", max(1, int(row.wait * 1000)))
         else:
-            key = row.found.candidate.key
+            key = row.prediction.candidate.key
             state = self._fleet.states.get(key)
             if state is not None:
                 state.remember(queued.inference)
                 self.spend_permit(state)
-            ahead = row.found.candidate.ahead * row.ask.work.per_token
+            ahead = row.prediction.candidate.queued_tokens * row.prompt.work.seconds_per_token
             frame = GrantFrame("grant", queued.number, key, 0, int(1000 * ahead))
         self._send(queued.host, frame)
 
-    def _candidates(self, req: PromptAsk) -> list[Candidate]:
+    def _candidates(self, req: QueuedPrompt) -> list[Candidate]:
         queued = self._queued_grants[req.id]
         states = self._fleet.usable(queued.service, queued.inference)
         domain = self._find_domain(queued.host)
         rows = self._fleet.candidates_known(states, queued.inference, queued.avoid, domain)
-        return [self._with_permit(row) if row.limited else row for row in rows]
+        return [self._with_permit(row) if row.rate_limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
         """Return an endpoint that has named a limit with when it may get a prompt."""
         wait, gap = self.permit_waits(self._fleet.states[row.key])
-        return replace(row, permit_wait=wait, permit_gap=gap)
+        return replace(row, permit_wait=wait, permit_interval=gap)
 
 
 class GrantCall:
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -4,7 +4,13 @@
 """
 
 from peridotdock.context import Context
-from peridotdock.decisions.permits import NO_WAIT, PROMISE_SECONDS, Permit, Permits, permit_gap
+from peridotdock.decisions.permits import (
+    NO_WAIT,
+    MAX_ADVANCE_SECONDS,
+    Permit,
+    Permits,
+    permit_interval,
+)
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.fleet import RelayFleet
@@ -35,7 +41,7 @@
     def refresh(self) -> None:
         """Forget endpoints without a limit; as the hub, begin to count for those that have one."""
         states = self._fleet.states.values()
-        self._permits.forget({state.start for state in states if state.limited})
+        self._permits.prune({state.start for state in states if state.limited})
         if self._peers.is_hub():
             for state in states:
                 self.wait_and_gap(state)
@@ -54,7 +60,7 @@
             return Permit(False, state.rests_until - now)
         if not state.limited:
             return NO_WAIT
-        if state.permit_from > now + min(max_wait, PROMISE_SECONDS):
+        if state.permit_from > now + min(max_wait, MAX_ADVANCE_SECONDS):
             return Permit(False, state.permit_from - now)
         hub = self._peers.hub()
         permit = (
@@ -123,7 +129,7 @@
             return 0.0, 0.0
         share = self._hub_share(state)
         wait = self._permits.wait(state.start, share, self._ctx.clock.monotonic())
-        return wait, permit_gap(share)
+        return wait, permit_interval(share)
 
     def _hub_share(self, state: EndpointState) -> float:
         """Return the part of a limit that this hub may give."""
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -6,7 +6,7 @@
 
 from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened, read_all
 from peridotdock.clock import Clock
-from peridotdock.decisions.overload import connect_seconds
+from peridotdock.decisions.overload import connect_timeout
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.requests import AnswerHead, RelayRequest, SendOptions
 from peridotdock.relay.caller import CallerConnection
@@ -109,7 +109,7 @@
             self._wire.write_send(req, options),
             req.body,
             once=True,
-            connect=connect_seconds(remaining),
+            connect=connect_timeout(remaining),
             wanted=state.takes_work,
         )
         sent_at = self._clock.monotonic()
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -5,10 +5,10 @@
 from peridotdock.blocklist import Blocklist
 from peridotdock.clients.endpoint import HttpEndpoints, read_all
 from peridotdock.context import Context
-from peridotdock.decisions.allowance import RetryAllowance
-from peridotdock.decisions.choice import Prediction, unread
+from peridotdock.decisions.retry_budget import RetryBudget
+from peridotdock.decisions.choice import Prediction, uncached_tokens
 from peridotdock.decisions.health import is_overdue
-from peridotdock.decisions.overload import TURNS_TO_ANSWER
+from peridotdock.decisions.overload import ITERATIONS_TO_ANSWER
 from peridotdock.deployment import Route
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.item_waits import name_item
@@ -56,19 +56,19 @@
         self.blocklist = blocklist
         self.sender = Sender(wire, endpoints, ctx.clock)
         self._bounds = bounds
-        self._allowances: dict[str, RetryAllowance] = {}
+        self._allowances: dict[str, RetryBudget] = {}
         self._turns = find_iterations()
         self._started_at = float("-inf") if first_start else ctx.clock.monotonic()
         self.hosts = 1
         self.on_unreachable: Callable[[str], None] = lambda key: None
         self.on_gap: Callable[[str, str, float], None] = lambda service, key, seconds: None
 
-    def _allowance(self, service: str) -> RetryAllowance:
+    def _allowance(self, service: str) -> RetryBudget:
         bounds = self._bounds
         found = self._allowances.get(service)
         if found is None:
             share, extra, window = bounds.retry_share, bounds.retry_extra, bounds.retry_window
-            found = RetryAllowance(share, extra, window, self._started_at)
+            found = RetryBudget(share, extra, window, self._started_at)
             self._allowances[service] = found
         return found
 
@@ -158,7 +158,7 @@
         if not req.route.resumable or progress.maybe_ran >= req.route.max_sends:
             return False
         now = self.ctx.clock.monotonic()
-        if not self._allowance(progress.service).has_left(now, self.hosts):
+        if not self._allowance(progress.service).available(now, self.hosts):
             return False
         states = self.fleet.usable(progress.service, req.head.inference)
         return any(other is not state and not other.health.suspect(now) for other in states)
@@ -179,11 +179,12 @@
         self._note_send(req, progress, prediction)
         inference = req.head.inference
         tokens = (
-            unread(prediction.candidate, self.fleet.work(progress.service, inference))
+            (
+            uncached_tokens(prediction.candidate, self.fleet.work(progress.service, inference))
             if inference
             else 0
         )
-        alone = prediction.candidate.ahead == 0 if prediction.granted else None
+        alone = prediction.candidate.queued_tokens == 0 if prediction.granted else None
         self.fleet.began(state, req.id, inference, tokens, alone)
         started_at = self.ctx.clock.monotonic()
         streaming = False
@@ -215,8 +216,8 @@
             endpoint=chosen.key,
             item=name_item(progress.service, inference),
             detail=f"send {progress.sends}, expected in {prediction.seconds:.3f} s, "
-            f"{chosen.running} running, {chosen.ahead} tokens ahead, "
-            f"{inference.prompt_tokens if inference else 0} to read, {chosen.cached} cached"
+            f"{chosen.running} running, {chosen.queued_tokens} tokens ahead, "
+            f"{inference.prompt_tokens if inference else 0} to read, {chosen.cached_tokens} cached"
             f"{', preferred' if chosen.preferred else ''}, {chosen.slowness:.2f} times slower",
         )
 
@@ -293,7 +294,7 @@
         if not failed(found):
             erred = isinstance(found, CompleteAnswer) and found.is_server_error
             progress.maybe_ran += 1
-            state.health.erred(now) if erred else state.health.succeeded()
+            state.health.record_error(now) if erred else state.health.record_success()
             return
         progress.maybe_ran += found.may_have_run
         progress.refusals += found.kind in NOT_RUN_KINDS
@@ -316,8 +317,8 @@
         if not failed(found) or found.kind is not Kind.DEADLINE or req.head.inference is not None:
             return
         now = self.ctx.clock.monotonic()
-        if is_overdue(now - started_at, expected, TURNS_TO_ANSWER * self._turns.median_length()):
-            state.health.overdue(now)
+        if is_overdue(now - started_at, expected, ITERATIONS_TO_ANSWER * self._turns.median_length()):
+            state.health.record_overdue(now)
 
     def note_loss(
         self, req: RelayRequest, state: EndpointState, found: Failure, streamed: float | None = None
@@ -328,17 +329,17 @@
         """
         now = self.ctx.clock.monotonic()
         if found.kind is Kind.ENDPOINT_REFUSED:
-            state.health.erred(now)
+            state.health.record_error(now)
         elif found.kind is Kind.ENDPOINT_LACKS and req.head.inference is not None:
             state.note_lack(req.head.inference, now)
         elif found.kind is Kind.ENDPOINT_LACKS:
             # A plain service lacks nothing: its address has been taken by another.
-            state.health.unreachable(now)
+            state.health.record_unreachable(now)
         elif found.kind is Kind.ENDPOINT_UNREACHABLE:
-            state.health.unreachable(now)
+            state.health.record_unreachable(now)
             self.on_unreachable(state.key)
         elif found.kind in RETRY_KINDS:
-            state.health.lost(now)
+            state.health.record_loss(now)
         just_begun = streamed is None or streamed < BLAMELESS_STREAM_SECONDS
         if connection_broke(found) and just_begun:
             self.blocklist.note_end(req, state.start)
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -64,14 +64,14 @@
 
         None tells that it is time to look again.
         """
-        row = min(rows, key=lambda row: row.opens_in)
+        row = min(rows, key=lambda row: row.available_in)
         seconds = predict(row, self._fleet.work(progress.service, req.head.inference))
         max_wait = max(0.0, req.first_event_deadline - self._ctx.clock.monotonic() - seconds)
-        if row.rest and self.is_draining():
+        if row.backoff and self.is_draining():
             # Other hosts may send there; this one may be gone before an answer is whole.
             permit = Permit(False, 0.0)
-        elif row.rest:
-            permit = Permit(row.opens_in <= max_wait, row.opens_in)
+        elif row.backoff:
+            permit = Permit(row.available_in <= max_wait, row.available_in)
         else:
             permit = await self._permits.request_permit(
                 self._fleet.states[row.key], max_wait, caller
@@ -80,8 +80,8 @@
             reason = f"{len(rows)} endpoints take nothing now, the first in {permit.wait:.2f} s"
             wait = retry_after(permit.wait, self._ctx.rng.random)
             return Failure(Kind.OVERLOADED, reason, wait)
-        longest = CHECK_SECONDS if row.rest else permit.wait
+        longest = CHECK_SECONDS if row.backoff else permit.wait
         await asyncio.wait({caller.disconnected}, timeout=min(permit.wait, longest))
         if caller.is_disconnected():
             return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
-        return None if row.rest else Prediction(row, seconds)
+        return None if row.backoff else Prediction(row, seconds)
