--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -29,10 +29,15 @@
 from peridotdock.mesh import Mesh
 from peridotdock.platform.adapter import PlatformAdapter
 from peridotdock.relay.asks import ModelWish, PromptPart
-from peridotdock.relay.node import DEMAND_SECONDS, WORDS_PER_SECOND, WORK_SECONDS, Node
-from peridotdock.relay.peers import UPWARD
+from peridotdock.relay.host import (
+    DEMAND_INTERVAL_SECONDS,
+    HUB_FACTS_PER_SECOND,
+    WORK_INTERVAL_SECONDS,
+    RelayHost,
+)
+from peridotdock.relay.peers import HUB_TOPICS
 from peridotdock.relay.settings import Address, HostSettings, Listen, parse_address
-from peridotdock.relay.sums import write_work
+from peridotdock.relay.aggregation import encode_work
 from peridotdock.schema.messages import DemandFact, HostFact, OrdersFact, Rows, WantsFact
 from peridotdock.schema.settings import Settings
 from tests.builders import facts_of
@@ -116,7 +121,7 @@
         """Tell of work on some engines, and now and then of what requests wait for."""
         rng = self._rng
         busy = rng.sample(engines, min(len(engines), 5))
-        self.board.publish("work", write_work({name: (1, rng.randrange(4000)) for name in busy}))
+        self.board.publish("work", encode_work({name: (1, rng.randrange(4000)) for name in busy}))
         if rng.random() < WANTS_CHANGE:
             items = {rng.choice(model_names(self._size)): 1}
             self.board.publish("wants", WantsFact(items if rng.random() < 0.5 else {}, []))
@@ -135,11 +140,11 @@
     upward: frozenset[str] = frozenset()
 
     def _audience(self, slot: tuple[str, str], links: Collection[Link]) -> Iterable[Link]:
-        return links if slot[1] not in UPWARD or slot[1] in self.upward else ()
+        return links if slot[1] not in HUB_TOPICS or slot[1] in self.upward else ()
 
     def take(self, other: PlayedHost) -> None:
         """Take in the facts of another played host."""
-        self.board.merge(facts_of(other.board, [(other.name, t) for t in ("host", *UPWARD)]))
+        self.board.merge(facts_of(other.board, [(other.name, t) for t in ("host", *HUB_TOPICS)]))
 
 
 class PlayedDeployment:
@@ -186,19 +191,19 @@
         """Begin to tell facts; in the role of the hub, link all hosts to the measured one."""
         hosts = [self.hub, *self.hosts]
         names = [engine.name for engine in self.engines]
-        slow = self._size.hosts / WORDS_PER_SECOND
+        slow = self._size.hosts / HUB_FACTS_PER_SECOND
         for host in hosts:
             if self._role == "hub":
                 host.mesh.connect_to_seed(measured)
-            work = max(WORK_SECONDS, slow)
+            work = max(WORK_INTERVAL_SECONDS, slow)
             self._every(host.membership.beat_seconds, host.membership.beat)
             self._every(lambda work=work: work, lambda host=host: host.tell_work(names))
-            self._every(lambda: DEMAND_SECONDS, host.tell_demand)
+            self._every(lambda: DEMAND_INTERVAL_SECONDS, host.tell_demand)
         if self._role == "ordinary":
             self._every(lambda: ORDERS_SECONDS, self._tell_orders)
             self._every(lambda: ROWS_SECONDS, self._tell_rows)
         if self._role != "hub":
-            self._every(lambda: WORK_SECONDS, lambda: self._tell_loads(names))
+            self._every(lambda: WORK_INTERVAL_SECONDS, lambda: self._tell_loads(names))
             self._every(lambda: slow, self._pass_on)
 
     def _pass_on(self) -> None:
@@ -227,7 +232,7 @@
 
     def _tell_loads(self, names: list[str]) -> None:
         rows = {name: (5, self._rng.randrange(9000)) for name in names}
-        self.hub.board.publish("loads", write_work(rows))
+        self.hub.board.publish("loads", encode_work(rows))
 
 
 def play_others(size: Size, role: str, pipe: Connection) -> None:
@@ -245,7 +250,7 @@
     asyncio.run(run())
 
 
-def make_node(store: str, hub: str, role: str) -> Node:
+def make_node(store: str, hub: str, role: str) -> RelayHost:
     """Return the measured host."""
     listen = Listen(*(free_address() for _ in range(4)))
     seeds: tuple[Address, ...] = () if role == "hub" else (parse_address(hub),)
@@ -261,10 +266,12 @@
         peer_ip=listen.peers.ip,
         peer_port=listen.peers.port,
     )
-    return Node(build_context(cfg, SystemClock(), random.Random(2)), settings, PlatformAdapter())
+    return RelayHost(
+        build_context(cfg, SystemClock(), random.Random(2)), settings, PlatformAdapter()
+    )
 
 
-async def drive(node: Node) -> None:
+async def drive(node: RelayHost) -> None:
     """Note requests on engines in the host's fleet, without sending any."""
     rng = random.Random(3)
     loop = asyncio.get_running_loop()
@@ -273,10 +280,10 @@
         wish = ModelWish("m0", "", PROMPT_TOKENS, 50, (PromptPart("a", 1000),))
         if states:
             state, ask = rng.choice(states), f"r{number}"
-            node.fleet.began(state, ask, wish, PROMPT_TOKENS)
-            node.peers.meter.add(f"m{rng.randrange(20)}", 0.05, time.monotonic())
-            loop.call_later(0.1, node.fleet.answered, state, ask, wish)
-            loop.call_later(REQUEST_SECONDS, node.fleet.ended, state, ask, "engines", False)
+            node.fleet.request_sent(state, ask, wish, PROMPT_TOKENS)
+            node.peers.demand_meter.add(f"m{rng.randrange(20)}", 0.05, time.monotonic())
+            loop.call_later(0.1, node.fleet.first_token_received, state, ask, wish)
+            loop.call_later(REQUEST_SECONDS, node.fleet.request_ended, state, ask, "engines", False)
         await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
 
@@ -302,7 +309,7 @@
 
 
 async def measure(
-    role: str, pipe: Connection, seconds: float, wait: Callable[[Node], Awaitable[None]]
+    role: str, pipe: Connection, seconds: float, wait: Callable[[RelayHost], Awaitable[None]]
 ) -> tuple[dict, cProfile.Profile]:
     """Run the host in a role; return its figures and a profile of the same length."""
     store, hub = pipe.recv()
@@ -333,7 +340,7 @@
     return figures, profile
 
 
-async def settle(node: Node) -> None:
+async def settle(node: RelayHost) -> None:
     """Wait until the start's work is done."""
     await asyncio.sleep(SETTLE_SECONDS)
 
--- a/peridotdock/relay/absent.py
+++ b/peridotdock/relay/absent.py
@@ -8,7 +8,7 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.asks import ModelWish, RelayAsk
 from peridotdock.relay.caller import CallerEnd
-from peridotdock.relay.endpoint import name_wish
+from peridotdock.relay.endpoint import item_name
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
 from peridotdock.requests import Loss, State, lose
@@ -101,21 +101,21 @@
         row = self.deployment.services.get(service) if self.deployment else None
         model = row.engine.models.get(wish.model) if row and row.engine else None
         load = self._fleet.load_seconds(service, model) if model else SERVICE_SECONDS
-        return Absence(left, self._fleet.coming(service, wish.model), load)
+        return Absence(left, self._fleet.seconds_until_loaded(service, wish.model), load)
 
     def _enter(self, item: str) -> None:
         waiting = self._peers.waiting
         waiting[item] = waiting.get(item, 0) + 1
-        self._peers.tell_wants()
+        self._peers.publish_wants()
 
     def _leave(self, item: str) -> None:
         waiting = self._peers.waiting
         waiting[item] -= 1
         if not waiting[item]:
             del waiting[item]
-        self._peers.tell_wants()
+        self._peers.publish_wants()
 
 
 def name_item(service: str, wish: ModelWish | None) -> str:
     """Return the name under which a model or adapter is asked for."""
-    return service if wish is None else name_wish(wish)
+    return service if wish is None else item_name(wish)
--- a/peridotdock/relay/sums.py
+++ b/peridotdock/relay/aggregation.py
@@ -10,13 +10,13 @@
 from peridotdock.schema.messages import DemandFact, RunsFact, WantsFact, WorkFact
 
 # Least change of a demand that is told, as a share of what was told last.
-DEMAND_STEP = 0.25
+DEMAND_STEP_SHARE = 0.25
 T = TypeVar("T", int, float)
 # Requests and prompt tokens that are not read yet, by endpoint.
 Work = dict[str, tuple[int, int]]
 
 
-def alive_facts(board: Board, membership: Membership, topic: str) -> Iterator[tuple[str, Known]]:
+def live_facts(board: Board, membership: Membership, topic: str) -> Iterator[tuple[str, Known]]:
     """Give what is known on a topic, by origin, of the hosts that are alive."""
     members = membership.members()
     for origin, known in board.on(topic).items():
@@ -24,7 +24,7 @@
             yield origin, known
 
 
-def write_work(rows: Mapping[str, tuple[int, int]]) -> WorkFact:
+def encode_work(rows: Mapping[str, tuple[int, int]]) -> WorkFact:
     """Pack requests and unread prompt tokens by endpoint."""
     return WorkFact(
         list(rows),
@@ -33,13 +33,13 @@
     )
 
 
-def read_work(fact: WorkFact) -> Work:
+def decode_work(fact: WorkFact) -> Work:
     """Unpack requests and unread prompt tokens by endpoint."""
     columns = zip(unpack("H", fact.running), unpack("I", fact.tokens), strict=True)
     return dict(zip(fact.endpoints, columns, strict=True))
 
 
-def write_runs(rows: Mapping[tuple[str, str], int]) -> RunsFact:
+def encode_runs(rows: Mapping[tuple[str, str], int]) -> RunsFact:
     """Pack the requests that run by endpoint and item."""
     endpoints = list(dict.fromkeys(endpoint for endpoint, _ in rows))
     items = list(dict.fromkeys(item for _, item in rows))
@@ -69,11 +69,11 @@
     total[name] = running + row[0], tokens + row[1]
 
 
-def without(work: Work, mine: Work) -> Work:
+def subtract_work(work: Work, own: Work) -> Work:
     """Return the work of all hosts less one's own, where that is newer than the sum."""
     found = {}
     for name, (running, tokens) in work.items():
-        less = mine.get(name, (0, 0))
+        less = own.get(name, (0, 0))
         found[name] = max(0, running - less[0]), max(0, tokens - less[1])
     return found
 
@@ -85,11 +85,11 @@
     recent: dict[str, float] = {}
     queued: dict[str, int] = {}
     for fact in wants:
-        add_up(waiting, fact.items)
-        add_up(queued, fact.queued)
+        add_figures(waiting, fact.items)
+        add_figures(queued, fact.queued)
     for fact in demands:
-        add_up(rates, fact.rates)
-        add_up(recent, fact.recent)
+        add_figures(rates, fact.rates)
+        add_figures(recent, fact.recent)
     return {
         item: Demand(
             waiting.get(item, 0), rates.get(item, 0.0), recent.get(item, 0.0), queued.get(item, 0)
@@ -98,16 +98,16 @@
     }
 
 
-def add_up(total: dict[str, T], more: Mapping[str, T]) -> None:
+def add_figures(total: dict[str, T], more: Mapping[str, T]) -> None:
     """Add one host's figures to the total of all."""
     for item, figure in more.items():
         total[item] = total.get(item, 0) + figure
 
 
-def differs(old: Mapping[str, float], new: Mapping[str, float]) -> bool:
+def demand_changed(old: Mapping[str, float], new: Mapping[str, float]) -> bool:
     """Tell whether a demand has changed enough to be told again."""
     for item in old.keys() | new.keys():
         before, after = old.get(item, 0.0), new.get(item, 0.0)
-        if abs(after - before) > DEMAND_STEP * max(before, after, 0.01):
+        if abs(after - before) > DEMAND_STEP_SHARE * max(before, after, 0.01):
             return True
     return False
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -88,10 +88,10 @@
         state = self._fleet.states.get(granted.endpoint)
         if state is None or state not in self._fleet.usable(progress.service, wish):
             return None
-        if state.rests_until > self._ctx.clock.monotonic():
+        if state.backoff_until > self._ctx.clock.monotonic():
             return None
-        work = self._fleet.work(progress.service, wish)
-        row = self._fleet.candidates_known([state], wish, frozenset(), "")[0]
+        work = self._fleet.estimate_work(progress.service, wish)
+        row = self._fleet.hub_candidates([state], wish, frozenset(), "")[0]
         row = replace(row, ahead=granted.ahead / work.per_token)
         return Prediction(row, predict(row, work), granted=True)
 
@@ -122,7 +122,7 @@
         self, candidates: Sequence[Candidate], ask: RelayAsk, progress: Progress
     ) -> Prediction | Failure:
         """Choose one of some endpoints, and turn away what would wait for too long."""
-        work = self._fleet.work(progress.service, ask.head.wish)
+        work = self._fleet.estimate_work(progress.service, ask.head.wish)
         found = choose(candidates, work, self._ctx.rng)
         if found is None:
             return Failure(Kind.NO_ENDPOINT, progress.service, ABSENT_RETRY_SECONDS)
--- a/peridotdock/relay/daemon.py
+++ b/peridotdock/relay/daemon.py
@@ -9,7 +9,7 @@
 from peridotdock.errors import failed
 from peridotdock.platform.adapter import PlatformAdapter
 from peridotdock.platform.settings import load_settings
-from peridotdock.relay.node import Node
+from peridotdock.relay.host import RelayHost
 from peridotdock.relay.settings import HostSettings
 from peridotdock.schema.settings import Settings
 from peridotdock.status import ExitStatus
@@ -36,7 +36,7 @@
         peer_degree=PEER_DEGREE,
     )
     logs.set_up(cfg.log_level, streams.out, cfg.host_id)
-    settle_memory()
+    configure_gc()
     with asyncio.Runner(loop_factory=WatchedLoop) as runner:
         runner.run(serve(cfg, found))
     return ExitStatus.OK
@@ -44,10 +44,10 @@
 
 async def serve(cfg: Settings, settings: HostSettings) -> None:
     """Run a host until it is told to stop."""
-    await Node(build_context(cfg), settings, PlatformAdapter()).run()
+    await RelayHost(build_context(cfg), settings, PlatformAdapter()).run()
 
 
-def settle_memory() -> None:
+def configure_gc() -> None:
     """Look for unused objects from now on, but not among those that the imports made.
 
     They stay for the life of the process, and each full look would go through all of them.
--- a/peridotdock/relay/entries.py
+++ b/peridotdock/relay/entries.py
@@ -7,7 +7,7 @@
 from peridotdock.relay.asks import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
 
-Decode = Callable[[str, bytes], EndpointEntry | Failure]
+DecodeEntry = Callable[[str, bytes], EndpointEntry | Failure]
 
 
 class EntryReader:
@@ -18,16 +18,20 @@
     """
 
     def __init__(
-        self, ctx: Context, fleet: RelayFleet, decode: Decode, other_start: Callable[[str], None]
+        self,
+        ctx: Context,
+        fleet: RelayFleet,
+        decode: DecodeEntry,
+        on_address_reused: Callable[[str], None],
     ):
         self._ctx = ctx
         self._fleet = fleet
         self._decode = decode
-        self._other_start = other_start
+        self._on_address_reused = on_address_reused
         self._refused: set[str] = set()
-        self._starts: dict[str, tuple[str, int]] = {}
+        self._start_by_address: dict[str, tuple[str, int]] = {}
 
-    def take(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
+    def apply_rows(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
         """Take rows into the fleet: all there are when ``whole``, else those that changed."""
         if whole:
             self._refused &= rows.keys()
@@ -54,7 +58,7 @@
             self._refused.discard(key)
         self._log(key, found)
         if found is not None:
-            self._note_start(found)
+            self._check_start(found)
         return found
 
     def _log(self, key: str, entry: EndpointEntry | None) -> None:
@@ -65,17 +69,17 @@
             return
         known = None if state is None else state.entry
         if known is None or (known.leaving, known.born) != (entry.leaving, entry.born):
-            word = "leaving" if entry.leaving else "ready"
+            state_name = "leaving" if entry.leaving else "ready"
             detail = f"born {entry.born}, holds {' '.join(sorted(entry.models))}"
-            self._ctx.timeline.add(f"endpoint_{word}", endpoint=key, detail=detail)
+            self._ctx.timeline.add(f"endpoint_{state_name}", endpoint=key, detail=detail)
 
-    def _note_start(self, entry: EndpointEntry) -> None:
+    def _check_start(self, entry: EndpointEntry) -> None:
         """Tell when an address has another start than before.
 
         Failure guarded against: an endpoint crashes behind a cut, so that nobody closes its
         connections, and starts again. The next request over a kept one gets no answer.
         """
         start = entry.incarnation, entry.born
-        if self._starts.setdefault(entry.address, start) != start:
-            self._starts[entry.address] = start
-            self._other_start(entry.address)
+        if self._start_by_address.setdefault(entry.address, start) != start:
+            self._start_by_address[entry.address] = start
+            self._on_address_reused(entry.address)
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -13,35 +13,35 @@
 from peridotdock.relay.endpoint import (
     NO_LOAD,
     EndpointState,
-    Flight,
-    HeardNews,
-    OthersLoad,
-    cache_place,
-    name_wish,
-    next_start,
-    out_of_date,
+    InFlightRequest,
+    ReceivedUpdate,
+    RemoteLoad,
+    prompt_cache_key,
+    item_name,
+    new_start_state,
+    is_outdated,
 )
 from peridotdock.rendezvous import weigh
 from peridotdock.schema.messages import EngineNews
 
 # Seconds to read one prompt token before any was measured; corrected by each first token.
-FIRST_GUESS_PER_TOKEN = 0.00003
+INITIAL_PROMPT_TOKEN_SECONDS = 0.00003
 # Seconds a prompt token takes at least: a short prompt on a quick engine is read within the step.
-LEAST_PER_TOKEN = 0.000001
+MIN_PROMPT_TOKEN_SECONDS = 0.000001
 # Seconds that a plain service takes before any answer was measured.
-FIRST_GUESS_SERVICE = 0.05
+INITIAL_ANSWER_SECONDS = 0.05
 # Weight of a new measurement in a moving average: about the last ten count.
-GAIN = 0.1
+AVERAGE_GAIN = 0.1
 # The same for the time of a prompt token, when one is found slower or faster than usual.
 SLOWER_GAIN = 0.02
 FASTER_GAIN = 0.2
 # Fewest tokens from which a time for one token is learnt: below, the step dominates.
-LEAST_TOKENS = 400
+MIN_MEASURED_TOKENS = 400
 # Seconds for which an endpoint that broke answers off is taken for ended while its entry is there
 # and nobody has tried to connect: longer than an entry takes to lapse.
-LAPSE_SECONDS = 10.0
+ASSUMED_ENDED_SECONDS = 10.0
 # Starts of endpoints that are remembered although their entries have gone.
-MOST_DEPARTED = 200
+MAX_DEPARTED = 200
 
 
 class RelayFleet:
@@ -53,9 +53,9 @@
         self.states: dict[str, EndpointState] = {}
         self._departed: dict[EndpointStart, EndpointState] = {}
         self.by_service: dict[str, list[EndpointState]] = {}
-        self._per_token: dict[str, float] = {}
-        self._service: dict[str, float] = {}
-        self._event: dict[str, float] = {}
+        self._prompt_token_seconds: dict[str, float] = {}
+        self._answer_seconds: dict[str, float] = {}
+        self._event_seconds: dict[str, float] = {}
         self._change: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def replace(self, entries: Iterable[EndpointEntry]) -> None:
@@ -65,18 +65,18 @@
         for entry in entries:
             state = old.get(entry.incarnation)
             if state is None or state.entry.born != entry.born:
-                state = next_start(state, entry)
+                state = new_start_state(state, entry)
                 before = self._departed.pop(state.start, None)
                 if before is not None:
-                    state.recall(before)
-            state.take_entry(entry)
+                    state.restore_announcements(before)
+            state.update_entry(entry)
             self.states[entry.incarnation] = state
         for key, state in old.items():
             if self.states.get(key) is not state:
-                self._depart(state)
+                self._add_departed(state)
         self._index()
 
-    def _depart(self, state: EndpointState) -> None:
+    def _add_departed(self, state: EndpointState) -> None:
         """Keep what a start said whose entry has gone, for when the entry comes back.
 
         Failure guarded against: entries lapse while the store is away, the endpoints live on, and
@@ -84,7 +84,7 @@
         """
         state.gone = True
         self._departed[state.start] = state
-        while len(self._departed) > MOST_DEPARTED:
+        while len(self._departed) > MAX_DEPARTED:
             del self._departed[next(iter(self._departed))]
 
     def update(self, changed: Mapping[str, EndpointEntry | None]) -> None:
@@ -101,28 +101,30 @@
         self.by_service = {}
         for state in self.states.values():
             self.by_service.setdefault(state.entry.service, []).append(state)
-        self._tell()
+        self._notify_change()
 
-    def _tell(self) -> None:
+    def _notify_change(self) -> None:
         change, self._change = self._change, asyncio.get_running_loop().create_future()
         change.set_result(None)
 
-    def usable(self, service: str, wish: ModelWish | None) -> list[EndpointState]:
+    def usable(self, service: str, inference: ModelWish | None) -> list[EndpointState]:
         """Return the endpoints of a service that take new work and hold what is wished for."""
         now = self._clock.monotonic()
         rows = self.by_service.get(service, ())
         found = [s for s in rows if not s.leaving and not s.health.closed(now)]
-        if wish is None:
+        if inference is None:
             return found
-        return [state for state in found if state.holds(wish, now)]
+        return [state for state in found if state.holds(inference, now)]
 
-    def coming(self, service: str, model: str) -> float | None:
+    def seconds_until_loaded(self, service: str, model: str) -> float | None:
         """Return the seconds until a model that is being loaded can serve, or None."""
         now = self._clock.monotonic()
         found = [
-            state.heard.news.coming[model] - (now - state.heard.at)
+            state.last_update.update.coming[model] - (now - state.last_update.received_at)
             for state in self.by_service.get(service, ())
-            if state.heard is not None and model in state.heard.news.coming and not state.leaving
+            if state.last_update is not None
+            and model in state.last_update.update.coming
+            and not state.leaving
         ]
         return max(0.0, min(found)) if found else None
 
@@ -132,24 +134,24 @@
         times = [load_seconds(state.entry, model) for state in states if not state.leaving]
         return min(times, default=model.load)
 
-    def take_news(self, rows: Iterable[EngineNews], at: float) -> None:
+    def apply_updates(self, rows: Iterable[EngineNews], at: float) -> None:
         """Take in what the host that orders engines said at a time (monotonic seconds).
 
         Engines that it leaves out have no news.
         """
-        news = {row.endpoint: HeardNews(row, frozenset(row.items), at) for row in rows}
+        updates = {row.endpoint: ReceivedUpdate(row, frozenset(row.items), at) for row in rows}
         for key, state in self.states.items():
-            heard = news.get(key)
-            old = heard is None or out_of_date(heard, state.entry)
-            state.take_news(None if old else heard)
-        self._tell()
+            received = updates.get(key)
+            old = received is None or is_outdated(received, state.entry)
+            state.set_update(None if old else received)
+        self._notify_change()
 
-    def take_others(self, loads: Mapping[str, OthersLoad]) -> None:
+    def set_remote_loads(self, loads: Mapping[str, RemoteLoad]) -> None:
         """Take in what all other hosts have on the endpoints; those left out have nothing."""
         for key, state in self.states.items():
-            state.others = loads.get(key, NO_LOAD)
+            state.remote_load = loads.get(key, NO_LOAD)
 
-    def has_ended(self, start: EndpointStart, broke_off: float) -> bool:
+    def has_ended(self, start: EndpointStart, broken_at: float) -> bool:
         """Tell whether a start of an endpoint has ended that broke answers off at a time.
 
         Failure guarded against: something between a host and three endpoints resets connections,
@@ -158,55 +160,59 @@
         state = self.states.get(start.endpoint)
         if state is None or state.start != start:
             return True
-        if state.answered_sent > broke_off:
+        if state.answered_sent_at > broken_at:
             return False
-        unreachable = state.health.unreachable_at >= broke_off
-        return unreachable or self._clock.monotonic() - broke_off <= LAPSE_SECONDS
+        unreachable = state.health.unreachable_at >= broken_at
+        return unreachable or self._clock.monotonic() - broken_at <= ASSUMED_ENDED_SECONDS
 
     async def next_change(self) -> None:
         """Wait until the endpoints or what they hold have changed."""
         await asyncio.shield(self._change)
 
-    def work(self, service: str, wish: ModelWish | None) -> Work:
+    def estimate_work(self, service: str, inference: ModelWish | None) -> Work:
         """Return what a request asks of an endpoint, by what was measured so far."""
-        seconds = self._service.get(service, FIRST_GUESS_SERVICE)
-        if wish is None:
+        seconds = self._answer_seconds.get(service, INITIAL_ANSWER_SECONDS)
+        if inference is None:
             return Work(0, 0, 0.0, seconds)
-        shared = count_shared(wish)
-        per_token = self._per_token.get(wish.model, FIRST_GUESS_PER_TOKEN)
-        return Work(max(1, wish.prompt_tokens), shared, per_token, seconds)
+        shared = count_shared_tokens(inference)
+        per_token = self._prompt_token_seconds.get(inference.model, INITIAL_PROMPT_TOKEN_SECONDS)
+        return Work(max(1, inference.prompt_tokens), shared, per_token, seconds)
 
     def event_seconds(self, service: str) -> float | None:
         """Return the time between two events of a stream while nothing is read, None if unknown."""
-        return self._event.get(service)
+        return self._event_seconds.get(service)
 
-    def note_event(self, service: str, seconds: float) -> None:
+    def record_event_gap(self, service: str, seconds: float) -> None:
         """Learn from the time between two events; only reading makes it longer."""
-        usual = self._event.setdefault(service, seconds)
+        usual = self._event_seconds.setdefault(service, seconds)
         gain = SLOWER_GAIN if seconds > usual else FASTER_GAIN
-        self._event[service] = usual + gain * (min(seconds, 2 * usual) - usual)
+        self._event_seconds[service] = usual + gain * (min(seconds, 2 * usual) - usual)
 
     def candidates(
-        self, states: Iterable[EndpointState], wish: ModelWish | None, avoid: frozenset[str]
+        self, states: Iterable[EndpointState], inference: ModelWish | None, avoid: frozenset[str]
     ) -> list[Candidate]:
         """Return the endpoints as they look for one request of this host.
 
         Those to ``avoid`` are left out.
         """
         now = self._clock.monotonic()
-        open_ones = [state for state in states if state.key not in avoid]
-        favourite = find_favourite(open_ones, wish)
-        here = self._domain
-        rows = [self._look(state, wish, state.key == favourite, now, here) for state in open_ones]
-        rests = [max(0.0, state.rests_until - now) for state in open_ones]
+        allowed = [state for state in states if state.key not in avoid]
+        preferred_key = find_preferred(allowed, inference)
+        domain = self._domain
+        rows = [
+            self._make_candidate(state, inference, state.key == preferred_key, now, domain)
+            for state in allowed
+        ]
+        backoffs = [max(0.0, state.backoff_until - now) for state in allowed]
         return [
-            replace(row, rest=rest) if rest else row for row, rest in zip(rows, rests, strict=True)
+            replace(row, rest=rest) if rest else row
+            for row, rest in zip(rows, backoffs, strict=True)
         ]
 
-    def candidates_known(
+    def hub_candidates(
         self,
         states: Iterable[EndpointState],
-        wish: ModelWish,
+        inference: ModelWish,
         avoid: frozenset[str],
         domain: str,
     ) -> list[Candidate]:
@@ -218,25 +224,25 @@
         """
         now = self._clock.monotonic()
         rows = [
-            self._look(state, wish, False, now, domain)
+            self._make_candidate(state, inference, False, now, domain)
             for state in states
             if state.key not in avoid
         ]
         most = max((row.cached for row in rows), default=0)
         return [replace(row, preferred=0 < row.cached == most) for row in rows]
 
-    def _look(
+    def _make_candidate(
         self,
         state: EndpointState,
-        wish: ModelWish | None,
+        inference: ModelWish | None,
         preferred: bool,
         now: float,
         domain: str,
     ) -> Candidate:
         running, ahead = state.load(now)
-        cached = state.cached(wish) if wish else 0
+        cached = state.cached_tokens(inference) if inference else 0
         if preferred:
-            cached = trust_preferred(cached, count_shared(wish))
+            cached = trust_preferred(cached, count_shared_tokens(inference))
         return Candidate(
             key=state.key,
             ahead=ahead,
@@ -247,15 +253,15 @@
             slowness=state.health.slowness(now),
             near=state.entry.domain == domain,
             suspect=state.health.suspect(now),
-            permit_wait=max(0.0, state.permit_from - now) if state.limited else 0.0,
+            permit_wait=max(0.0, state.next_permit_at - now) if state.limited else 0.0,
             permit_gap=permit_gap(state.limit.rate),
         )
 
-    def began(
+    def request_sent(
         self,
         state: EndpointState,
-        ask_id: str,
-        wish: ModelWish | None,
+        request_id: str,
+        inference: ModelWish | None,
         tokens: int,
         alone: bool | None = None,
     ) -> None:
@@ -266,42 +272,52 @@
         now = self._clock.monotonic()
         if alone is None:
             alone = state.load(now)[1] == 0
-        item = name_wish(wish) if wish is not None else ""
-        state.flights[ask_id] = Flight(now, tokens, alone, item)
-        state.ahead += tokens
-        if wish is not None:
-            state.remember(wish)
-
-    def answered(self, state: EndpointState, ask_id: str, wish: ModelWish | None) -> None:
+        item = item_name(inference) if inference is not None else ""
+        state.in_flight[request_id] = InFlightRequest(now, tokens, alone, item)
+        state.pending_tokens += tokens
+        if inference is not None:
+            state.add_cached_parts(inference)
+
+    def first_token_received(
+        self, state: EndpointState, request_id: str, inference: ModelWish | None
+    ) -> None:
         """Note the first token of a request and learn from how long it took."""
-        flight = state.flights.get(ask_id)
-        if flight is None or not flight.waiting:
+        request = state.in_flight.get(request_id)
+        if request is None or not request.awaits_first_token:
             return
-        flight.waiting = False
-        state.answered_sent = max(state.answered_sent, flight.began)
-        state.ahead -= flight.tokens
+        request.awaits_first_token = False
+        state.answered_sent_at = max(state.answered_sent_at, request.sent_at)
+        state.pending_tokens -= request.prompt_tokens
         now = self._clock.monotonic()
-        if wish is not None and flight.alone and flight.tokens >= LEAST_TOKENS:
-            reading = now - flight.began - STEP_SECONDS
-            found = max(LEAST_PER_TOKEN, reading / flight.tokens)
-            usual = self._per_token.setdefault(wish.model, found)
+        if (
+            inference is not None
+            and request.alone_at_start
+            and request.prompt_tokens >= MIN_MEASURED_TOKENS
+        ):
+            reading = now - request.sent_at - STEP_SECONDS
+            found = max(MIN_PROMPT_TOKEN_SECONDS, reading / request.prompt_tokens)
+            usual = self._prompt_token_seconds.setdefault(inference.model, found)
             state.health.measured(found / usual, now)
             # Other requests make a first token later and never sooner, so the lower times count.
             gain = SLOWER_GAIN if found > usual else FASTER_GAIN
-            self._per_token[wish.model] = usual + gain * (min(found, 2 * usual) - usual)
+            self._prompt_token_seconds[inference.model] = usual + gain * (
+                min(found, 2 * usual) - usual
+            )
 
-    def ended(self, state: EndpointState, ask_id: str, service: str, whole: bool) -> None:
+    def request_ended(
+        self, state: EndpointState, request_id: str, service: str, complete: bool
+    ) -> None:
         """Note that a request left an endpoint; whole answers teach how long one takes."""
-        flight = state.flights.pop(ask_id, None)
-        if flight is None:
+        request = state.in_flight.pop(request_id, None)
+        if request is None:
             return
-        if flight.waiting:
-            state.ahead -= flight.tokens
-        if whole:
-            state.answered_sent = max(state.answered_sent, flight.began)
+        if request.awaits_first_token:
+            state.pending_tokens -= request.prompt_tokens
+        if complete:
+            state.answered_sent_at = max(state.answered_sent_at, request.sent_at)
             now = self._clock.monotonic()
-            usual = self._service.get(service, FIRST_GUESS_SERVICE)
-            self._service[service] = usual + GAIN * (now - flight.began - usual)
+            usual = self._answer_seconds.get(service, INITIAL_ANSWER_SECONDS)
+            self._answer_seconds[service] = usual + AVERAGE_GAIN * (now - request.sent_at - usual)
 
 
 def load_seconds(entry: EndpointEntry, model: Model) -> float:
@@ -311,18 +327,18 @@
     return model.from_disk if model.name in entry.on_disk else model.load
 
 
-def count_shared(wish: ModelWish) -> int:
+def count_shared_tokens(inference: ModelWish) -> int:
     """Return the prompt tokens that other requests may share."""
-    return sum(part.tokens for part in wish.parts[:-1])
+    return sum(part.tokens for part in inference.parts[:-1])
 
 
-def find_favourite(states: list[EndpointState], wish: ModelWish | None) -> str:
+def find_preferred(states: list[EndpointState], inference: ModelWish | None) -> str:
     """Return the endpoint that all hosts prefer for a prompt's shared part, or nothing.
 
     Hosts don't tell each other which prompts they sent where; the same hash on all of them brings
     requests that share a part to the same endpoint.
     """
-    if wish is None or len(wish.parts) < 2 or not states:
+    if inference is None or len(inference.parts) < 2 or not states:
         return ""
-    shared = f"{cache_place(wish)}|{wish.parts[-2].id}"
+    shared = f"{prompt_cache_key(inference)}|{inference.parts[-2].id}"
     return max(states, key=lambda state: weigh(shared, state.key)).key
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -24,13 +24,13 @@
 NEVER = float("-inf")
 # Seconds between two calls on a table that has not changed. The store holds a call for longer; this
 # keeps a host from asking without end where it does not.
-LEAST_PAUSE = 0.05
+MIN_PAUSE_SECONDS = 0.05
 # Looks at the age of a view in the time for which the reader may be silent.
-LOOKS = 4
-Take = Callable[[Mapping[str, bytes | None], bool], None]
+AGE_CHECKS = 4
+ApplyRows = Callable[[Mapping[str, bytes | None], bool], None]
 
 
-class Tell(Protocol):
+class PublishRows(Protocol):
     """Passes on to other hosts what this one has read."""
 
     def __call__(self, found: TableChanges | TableView, after: int) -> None:
@@ -52,31 +52,31 @@
         ctx: Context,
         tables: Tables,
         table: str,
-        take: Take,
+        apply_rows: ApplyRows,
         pause: Callable[[], float],
         limits: ViewLimits | None = None,
     ):
         self._ctx = ctx
         self._tables = tables
         self.table = table
-        self._take = take
+        self._apply_rows = apply_rows
         self._pause = pause
         self.limits = limits or share_out(LEAST_BOUND)
         self._version: int | None = None
-        self._held: asyncio.Future | None = None
-        self._asking = False
-        self._beats: dict[str, int] = {}
+        self._interruptible_work: asyncio.Future | None = None
+        self._call_in_flight = False
+        self._last_beats: dict[str, int] = {}
         self._as_of = NEVER
-        self._heard_at = NEVER
-        self._asked_for = 0
-        self._losses = 0
-        self._old_told = False
-        self.in_touch = False
+        self._last_frame_at = NEVER
+        self._wanted_version = 0
+        self._failed_calls = 0
+        self._logged_as_old = False
+        self.connected = False
         self.rows: dict[str, bytes] = {}
-        self.reads = lambda: True
-        self.tell: Tell | None = None
-        self.ask_hosts: Callable[[int], None] = lambda after: None
-        self.on_lost: Callable[[], None] = lambda: None
+        self.must_read = lambda: True
+        self.publish: PublishRows | None = None
+        self.request_rows: Callable[[int], None] = lambda after: None
+        self.on_call_lost: Callable[[], None] = lambda: None
 
     @property
     def version(self) -> int | None:
@@ -87,9 +87,9 @@
         """Return the seconds since this view was last known to be as the store's."""
         return self._ctx.clock.monotonic() - self._as_of
 
-    def lost(self) -> bool:
+    def last_call_failed(self) -> bool:
         """Tell whether the last call on the table was lost."""
-        return self._losses > 0
+        return self._failed_calls > 0
 
     async def run(self) -> None:
         """Follow for as long as the process lives.
@@ -101,23 +101,23 @@
             try:
                 await self.step()
             except Exception as exc:
-                self._note_bad(exc)
-                await self._nap(MOST_AGAIN_SECONDS)
+                self._log_refused_rows(exc)
+                await self._sleep(MOST_AGAIN_SECONDS)
 
     async def step(self) -> None:
         """Read the table whole, or wait for its next change; rest while another host reads it."""
         after = self._version
-        if after is not None and self._rests():
-            await self._nap(self.limits.silence / LOOKS)
+        if after is not None and self._fed_by_reader():
+            await self._sleep(self.limits.silence / AGE_CHECKS)
             return
         began = self._ctx.clock.monotonic()
-        self._asking = True
-        found = await self._interruptible(self._ask(after))
-        self._asking = False
+        self._call_in_flight = True
+        found = await self._interruptible(self._call_store(after))
+        self._call_in_flight = False
         if found is None:
             return
         if failed(found):
-            await self._lose(found, began)
+            await self._handle_failure(found, began)
             return
         if self._version is not None and found.version < self._version:
             # Another host's newer rows came meanwhile; older ones must not take their place.
@@ -125,32 +125,32 @@
         whole = isinstance(found, TableView)
         changed = whole or bool(found.values)
         if changed:
-            self._put(found.values, whole)
+            self._apply(found.values, whole)
         self._version = found.version
         first = self._as_of == NEVER
-        self._regain(began, changed)
-        if self.tell is not None and not first:
-            self.tell(found, after or 0)
-        await self._nap(self._pause() if changed else LEAST_PAUSE)
+        self._record_answer(began, changed)
+        if self.publish is not None and not first:
+            self.publish(found, after or 0)
+        await self._sleep(self._pause() if changed else MIN_PAUSE_SECONDS)
 
-    def _put(self, values: Mapping[str, bytes | None], whole: bool) -> None:
+    def _apply(self, values: Mapping[str, bytes | None], whole: bool) -> None:
         rows = {} if whole else self.rows
         rows.update(values)
         self.rows = {key: value for key, value in rows.items() if value is not None}
-        self._take(values, whole)
+        self._apply_rows(values, whole)
 
-    def _rests(self) -> bool:
+    def _fed_by_reader(self) -> bool:
         """Tell whether another host keeps this view new."""
-        if self.reads() or self._misses():
+        if self.must_read() or self._behind_reader():
             return False
-        heard = self._ctx.clock.monotonic() - self._heard_at < self.limits.silence
+        heard = self._ctx.clock.monotonic() - self._last_frame_at < self.limits.silence
         return heard and self.age() < self.limits.age
 
-    def _misses(self) -> bool:
+    def _behind_reader(self) -> bool:
         """Tell whether another host has named a version that this one does not have."""
-        return self._version is not None and self._asked_for > self._version
+        return self._version is not None and self._wanted_version > self._version
 
-    async def _ask(self, after: int | None) -> TableView | TableChanges | Failure:
+    async def _call_store(self, after: int | None) -> TableView | TableChanges | Failure:
         if after is None:
             return await self._tables.read_table(self.table)
         limits = self.limits
@@ -158,111 +158,113 @@
 
     async def _interruptible(self, work):
         """Wait for some work; None when :meth:`renew` ended it."""
-        self._held = asyncio.ensure_future(work)
+        self._interruptible_work = asyncio.ensure_future(work)
         try:
-            await asyncio.wait({self._held})
-            return None if self._held.cancelled() else self._held.result()
+            await asyncio.wait({self._interruptible_work})
+            return (
+                None if self._interruptible_work.cancelled() else self._interruptible_work.result()
+            )
         finally:
-            self._held.cancel()
+            self._interruptible_work.cancel()
 
-    async def _nap(self, seconds: float) -> None:
+    async def _sleep(self, seconds: float) -> None:
         await self._interruptible(self._ctx.clock.sleep(seconds))
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         """Ask again at once; over a new connection where a call is out.
 
         Failure guarded against: the store falls silent and comes back, and never answers the calls
         that it held, nor any on their connections. The view then stays as old as the outage:
         requests go to endpoints that have left, by a configuration that is not in force any more.
         """
-        if self._asking:
+        if self._call_in_flight:
             self._tables.suspect()
-        self._wake()
+        self._interrupt()
 
     # What the host that reads for all says
 
-    def feed(self, frame: Rows) -> bool:
+    def receive(self, frame: Rows) -> bool:
         """Take in what another host read; true for a frame that was not heard before.
 
         One host reads for all, since each call of the store has its price.
         """
         if not frame.direct:
-            if frame.beat <= self._beats.get(frame.origin, -1):
+            if frame.beat <= self._last_beats.get(frame.origin, -1):
                 return False
-            self._beats[frame.origin] = frame.beat
+            self._last_beats[frame.origin] = frame.beat
         known = self._version
         if known is None:
             return True
         if frame.version > known and (frame.changed or not (frame.whole or frame.after <= known)):
-            self._miss(frame.version)
+            self._fetch_missing(frame.version)
             return True
         if frame.version > known and (frame.values or frame.whole):
             try:
-                self._put(inflate_rows(frame), frame.whole)
+                self._apply(inflate_rows(frame), frame.whole)
             except Exception as exc:
-                self._note_bad(exc)
-                self._miss(frame.version)
+                self._log_refused_rows(exc)
+                self._fetch_missing(frame.version)
                 return True
         self._version = max(known, frame.version)
         now = self._ctx.clock.monotonic()
         if not frame.direct:
-            self._heard_at = NEVER if frame.lost else now
+            self._last_frame_at = NEVER if frame.lost else now
         self._as_of = max(self._as_of, now - frame.age / 1000)
-        if not self._asking and not self._rests():
-            self._wake()
+        if not self._call_in_flight and not self._fed_by_reader():
+            self._interrupt()
         return True
 
-    def _wake(self) -> None:
-        if self._held is not None:
-            self._held.cancel()
+    def _interrupt(self) -> None:
+        if self._interruptible_work is not None:
+            self._interruptible_work.cancel()
 
-    def _miss(self, version: int) -> None:
+    def _fetch_missing(self, version: int) -> None:
         """Ask the store for changes that the reader has and did not give.
 
         Its next words name the same version: they must not pass for proof that nothing is missing,
         nor break off the call that is out for it.
         """
-        self._heard_at = NEVER
-        if version > self._asked_for:
-            self._asked_for = version
-            self.renew()
+        self._last_frame_at = NEVER
+        if version > self._wanted_version:
+            self._wanted_version = version
+            self.refresh()
 
     # Losing and regaining touch
 
-    def _note_bad(self, exc: Exception) -> None:
+    def _log_refused_rows(self, exc: Exception) -> None:
         detail = f"{self.table}: {type(exc).__name__}: {exc}"
         self._ctx.timeline.add("rows_refused", "ERROR", detail=detail)
 
-    async def _lose(self, found: Failure, began: float) -> None:
+    async def _handle_failure(self, found: Failure, began: float) -> None:
         if found.kind is Kind.HISTORY_GONE:
             self._ctx.timeline.add("history_gone", "WARNING", detail=self.table)
             self._version = None
             return
-        self._losses += 1
-        if self._losses == 1:
-            self.on_lost()
-        if self.in_touch:
-            self.in_touch = False
+        self._failed_calls += 1
+        if self._failed_calls == 1:
+            self.on_call_lost()
+        if self.connected:
+            self.connected = False
             self._ctx.timeline.add("store_lost", "WARNING", detail=f"{self.table}: {found.reason}")
-        if self._misses():
+        if self._behind_reader():
             # Failure guarded against: the store turns this host away while it serves others, and
             # this one alone never gets what they have. The hosts it is linked to give it.
-            self.ask_hosts(self._version)
+            self.request_rows(self._version)
         # With jitter, so that hosts that waited out an outage together don't come back in step.
         lost = self._ctx.clock.monotonic() - began >= self.limits.hold
-        await self._nap(wait_after(self._losses, lost) * (0.5 + self._ctx.rng.random()))
+        await self._sleep(wait_after(self._failed_calls, lost) * (0.5 + self._ctx.rng.random()))
 
-    def _regain(self, began: float, changed: bool) -> None:
+    def _record_answer(self, began: float, changed: bool) -> None:
         """Note how new the view is: an answer without changes may have been on its way since the
         end of its hold. One with changes is followed by another call."""
-        self._losses = 0
+        self._failed_calls = 0
         now = self._ctx.clock.monotonic()
         self._as_of = now if changed else min(now, began + self.limits.hold)
-        if not self.in_touch:
-            self.in_touch = True
+        if not self.connected:
+            self.connected = True
             self._ctx.timeline.add("store_in_touch", detail=self.table)
 
-    def note_age(self, bound: float) -> None:
+    def record_age(self, bound: float) -> None:
         """Log when the view is older than changes may take to be seen, and when it is new again.
 
         A request sent by an old view leaves no other trace of why it went where it did.
@@ -272,9 +274,9 @@
         age = self.age()
         self._ctx.metrics.view_age.labels(self.table).set(age)
         old = age > bound
-        if old == self._old_told:
+        if old == self._logged_as_old:
             return
-        self._old_told = old
+        self._logged_as_old = old
         detail = f"{self.table}: {age:.2f} s old, bound {bound:.2f} s"
         if old:
             self._ctx.timeline.add("view_old", "WARNING", detail=detail)
--- a/peridotdock/relay/front.py
+++ b/peridotdock/relay/front.py
@@ -123,9 +123,9 @@
         """Count what a request asks of the engines, by model and adapter."""
         wish = ask.head.wish
         if wish is not None:
-            seconds = read_seconds(self._service.fleet.work(progress.service, wish))
+            seconds = read_seconds(self._service.fleet.estimate_work(progress.service, wish))
             now = self._ctx.clock.monotonic()
-            self._peers.meter.add(name_item(progress.service, wish), seconds, now)
+            self._peers.demand_meter.add(name_item(progress.service, wish), seconds, now)
 
     async def _hold(self, ask, caller, progress, source: Source):
         """Pass a stream on, and count it as in work until it has ended."""
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -25,7 +25,7 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.asks import ModelWish, PromptPart, RelayAsk
 from peridotdock.relay.caller import CallerEnd
-from peridotdock.relay.endpoint import EndpointState, name_wish
+from peridotdock.relay.endpoint import EndpointState, item_name
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.requests import Loss, State, lose
 from peridotdock.schema.messages import Grant as GrantFrame
@@ -130,9 +130,9 @@
         wish = read_wish(frame)
         key = host, frame.number
         self._wanted[key] = Wanted(host, frame.number, frame.service, wish, frozenset(frame.avoid))
-        work = self._fleet.work(frame.service, wish)
+        work = self._fleet.estimate_work(frame.service, wish)
         first = now + frame.spare / 1000 - work.tokens * work.per_token - WAY_SECONDS
-        item = name_wish(wish)
+        item = item_name(wish)
         stays = now + frame.stays / 1000
         pacer = self._pacers.setdefault(frame.service, Pacer(self._ctx.rng))
         pacer.add(PromptAsk(key, item, work, frame.rank, first, stays, bool(frame.avoid)))
@@ -186,7 +186,7 @@
             key = row.found.candidate.key
             state = self._fleet.states.get(key)
             if state is not None:
-                state.remember(wanted.wish)
+                state.add_cached_parts(wanted.wish)
                 self.spend_permit(state)
             ahead = row.found.candidate.ahead * row.ask.work.per_token
             frame = GrantFrame("grant", wanted.number, key, 0, int(1000 * ahead))
@@ -196,7 +196,7 @@
         wanted = self._wanted[ask.id]
         states = self._fleet.usable(wanted.service, wanted.wish)
         domain = self._find_domain(wanted.host)
-        rows = self._fleet.candidates_known(states, wanted.wish, wanted.avoid, domain)
+        rows = self._fleet.hub_candidates(states, wanted.wish, wanted.avoid, domain)
         return [self._with_permit(row) if row.limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/host.py
@@ -34,55 +34,55 @@
 from peridotdock.relay.settings import HostSettings
 from peridotdock.relay.views import Views
 from peridotdock.relay.waits import Waits
-from peridotdock.relay.words import EndpointWords
+from peridotdock.relay.endpoint_notices import EndpointNotices
 from peridotdock.serving import Server, make_application
 from peridotdock.turns import find_turns
 
 # Seconds between a change of the configuration and the next call on it: changes that come in quick
 # succession are seen one by one.
-CONFIG_PAUSE = 0.05
+CONFIG_PAUSE_SECONDS = 0.05
 # How many times as long as they should some callers keep an answer where to connect.
-ADDRESS_FACTOR = 3.0
+ADDRESS_CACHE_FACTOR = 3.0
 # Seconds before the platform's SIGKILL at which a planned stop ends.
-STOP_MARGIN = 0.7
+STOP_MARGIN_SECONDS = 0.7
 DRAIN_POLL_SECONDS = 0.05
 # Seconds between two looks at which hosts are there, and to whom this one should be linked.
-LOOK_ROUND_SECONDS = 1.0
+MEMBERSHIP_REFRESH_SECONDS = 1.0
 # Seconds between two words to the hub on work at endpoints, and on demand, and how many hosts'
 # words it takes in a second: with more hosts they come seldomer, and what it spends on them stays
 # the same.
-WORK_SECONDS = 0.15
-RUNS_SECONDS = 0.3
-DEMAND_SECONDS = 0.3
-WORDS_PER_SECOND = 400.0
+WORK_INTERVAL_SECONDS = 0.15
+RUNS_INTERVAL_SECONDS = 0.3
+DEMAND_INTERVAL_SECONDS = 0.3
+HUB_FACTS_PER_SECOND = 400.0
 # How many times less often than work the facts for placement alone are told where hosts are many.
-SELDOM = 4.0
+PLACEMENT_INTERVAL_FACTOR = 4.0
 # Seconds between two steps for the lease: of its holder; of those that stand by, while they hear
 # the holder and when they don't; of all others.
-HOLDER_SECONDS = 0.7
-STANDBY_SECONDS = 3.0
-URGENT_SECONDS = 0.35
-OTHERS_SECONDS = 8.0
-STANDBYS = 2
+HOLDER_STEP_SECONDS = 0.7
+STANDBY_STEP_SECONDS = 3.0
+URGENT_STEP_SECONDS = 0.35
+OTHER_HOSTS_STEP_SECONDS = 8.0
+STANDBY_HOSTS = 2
 # Hosts from which on the hub does not stand by: a plan for many engines holds up its answers.
-MANY_HOSTS = 16
+HUB_NOT_STANDBY_HOSTS = 16
 # Least seconds until a look at a lease that is about to lapse.
-LEAST_WAIT = 0.05
+MIN_LEASE_WAIT_SECONDS = 0.05
 # Seconds after a start for which a host without a configuration leaves the lease alone. After them
 # some host takes it: until then each reads the store for itself.
-MEET_SECONDS = 1.0
+DISCOVERY_SECONDS = 1.0
 # Seconds between two plans when nothing calls for one.
-PLAN_SECONDS = 0.5
+PLAN_INTERVAL_SECONDS = 0.5
 # Plans in a row that may fail before another host is to try: two and a half seconds of them.
-MOST_FAILED_PLANS = 5
+MAX_FAILED_PLANS = 5
 # How many times as long as a plan took the next one is put off: waiting requests and engines'
 # answers call for a plan at each turn of the loop, and callers' requests would be read late.
-PLAN_REST = 3.0
+PLAN_PAUSE_FACTOR = 3.0
 
 log = logging.getLogger("peridotdock")
 
 
-class Node:
+class RelayHost:
     """One relaying host."""
 
     def __init__(self, ctx: Context, settings: HostSettings, adapter: Adapter):
@@ -95,7 +95,7 @@
         self.endpoints = HttpEndpoints(not_run_header=None)
         self.fleet = RelayFleet(settings.domain, ctx.clock)
         self.peers = Peers(ctx, settings, self.fleet, lambda digest: b"")
-        self.room = WaitingRoom(ctx, self.fleet, self.peers)
+        self.waiting_room = WaitingRoom(ctx, self.fleet, self.peers)
         mesh = self.peers.mesh
         self.grants = Grants(
             ctx,
@@ -108,13 +108,13 @@
         )
         mesh.on_grant = self.grants.take
         self.permits = EndpointPermits(ctx, settings.host, self.peers, self.fleet, find_turns())
-        self.words = EndpointWords(ctx, settings.host, self.peers, self.fleet)
+        self.notices = EndpointNotices(ctx, settings.host, self.peers, self.fleet)
         mesh.on_permit = self.permits.take
         self.grants.server.find_permit = self.permits.waits
         self.grants.server.spend_permit = self.permits.spend
         self.peers.queued = self.grants.server.queued
-        self.blocklist = Blocklist(ctx, self.peers.board, self.fleet.has_ended, self.peers.is_hub)
-        waits = Waits(ctx, self.fleet, self.room, self.permits)
+        self.blocklist = Blocklist(ctx, self.peers.facts, self.fleet.has_ended, self.peers.is_hub)
+        waits = Waits(ctx, self.fleet, self.waiting_room, self.permits)
         waits.is_leaving = lambda: self.leaving
         chooser = Chooser(ctx, self.fleet, waits, self.grants, self.permits)
         self.service = RelayService(
@@ -127,11 +127,11 @@
             self.blocklist,
             settings.first_start,
         )
-        self.service.sender.on_answer = self.words.note_answer
+        self.service.sender.on_answer = self.notices.note_answer
         self.service.on_gap = self.grants.server.note_gap
-        self.service.on_down = lambda key: self.peers.tell_wants()
+        self.service.on_down = lambda key: self.peers.publish_wants()
         self.lag = LagWatch(ctx, find_turns(), lambda: self.front.in_work)
-        self.lag.on_change = self._tell_state
+        self.lag.on_change = self._publish_state
         self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_turns())
         mesh.on_quota = self.quotas.take
         identifier = Identifier(settings.bounds, self._config_age)
@@ -143,35 +143,37 @@
         self.leadership = Leadership(
             ctx, self.store, lease, uptime, machine, self.store.suspect, store_time
         )
-        self.keep_due = asyncio.Event()
-        self.blocklist.on_blocked = self.keep_due.set
-        self.keeper = BlocklistKeeper(ctx, self.store, self.leadership.holds, self.blocklist)
+        self.blocklist_due = asyncio.Event()
+        self.blocklist.on_blocked = self.blocklist_due.set
+        self.blocklist_store = BlocklistKeeper(
+            ctx, self.store, self.leadership.holds, self.blocklist
+        )
         engines = adapter.open_engines(self.endpoints)
         self.orderer = Orderer(ctx, self.fleet, engines, self.leadership, settings.bounds)
-        self.orderer.heard_loads = self.peers.heard_loads
-        self.orderer.ask_permit = self.permits.ask_for
+        self.orderer.find_holder_loads = self.peers.holder_loads
+        self.orderer.request_permit = self.permits.ask_for
         self.jobs = Jobs(ctx)
         self.lease_due = asyncio.Event()
-        self.peers.on_resigned = self._hear_resigned
-        self.peers.on_term = self._hear_term
-        self.peers.on_lease = self.leadership.hear_renewed
-        self.leadership.on_renewed = self.peers.tell_lease
-        self.leadership.on_resigned = self.peers.tell_resigned
+        self.peers.on_resigned = self._on_resigned
+        self.peers.on_term = self._on_term
+        self.peers.on_lease = self.leadership.receive_renewal
+        self.leadership.on_renewed = self.peers.publish_lease
+        self.leadership.on_resigned = self.peers.publish_resignation
         self.views = Views(ctx, self.store, self.peers, lambda: self.leadership.term > 0)
         self.views.hide_keys = adapter.hide_keys
         self.leaving = False
         self._tasks: list[asyncio.Task[None]] = []
-        self._heard_term = 0
+        self._last_term = 0
         self._started_at = ctx.clock.monotonic()
         self._entries = EntryReader(
             ctx, self.fleet, adapter.decode_endpoint, self._drop_connections
         )
         self._failed_plans = 0
         listen = settings.listen
-        doors = Doors(ctx, adapter, self.front, self.peers.membership, self._ready)
-        doors.open(listen, settings.metrics.port if settings.metrics is not None else None)
+        port_router = Doors(ctx, adapter, self.front, self.peers.membership, self._ready)
+        port_router.open(listen, settings.metrics.port if settings.metrics is not None else None)
         app = make_application()
-        app.router.fallback = doors.handle
+        app.router.fallback = port_router.handle
         addresses = [listen.readiness, listen.directory]
         if settings.metrics is not None:
             addresses.append(settings.metrics)
@@ -185,12 +187,20 @@
         for follower in self._follow_tables():
             self._tasks.append(asyncio.create_task(follower.run()))
         every = self.jobs.every
-        every(lambda: LOOK_ROUND_SECONDS, self._look_round, "look round")
-        every(lambda: self._word_seconds(WORK_SECONDS), self._tell_work, "work")
-        every(lambda: self._word_seconds(RUNS_SECONDS, SELDOM), self._tell_runs, "runs")
-        every(lambda: self._word_seconds(DEMAND_SECONDS, SELDOM), self._tell_demand, "demand")
+        every(lambda: MEMBERSHIP_REFRESH_SECONDS, self._refresh_membership, "look round")
+        every(lambda: self._publish_interval(WORK_INTERVAL_SECONDS), self._publish_work, "work")
+        every(
+            lambda: self._publish_interval(RUNS_INTERVAL_SECONDS, PLACEMENT_INTERVAL_FACTOR),
+            self._publish_runs,
+            "runs",
+        )
+        every(
+            lambda: self._publish_interval(DEMAND_INTERVAL_SECONDS, PLACEMENT_INTERVAL_FACTOR),
+            self._publish_demand,
+            "demand",
+        )
         every(self.lag.look_seconds, self.lag.look, "lag")
-        every(lambda: KEEP_SECONDS, self.keeper.step, "block list", self.keep_due)
+        every(lambda: KEEP_SECONDS, self.blocklist_store.step, "block list", self.blocklist_due)
         every(self._lease_seconds, self._step_lease, "lease", self.lease_due)
         self._tasks.append(asyncio.create_task(self._order()))
         self.ctx.timeline.add("started", detail=str(self.settings.listen.callers))
@@ -202,99 +212,99 @@
         adapter, bounds = self.adapter, self.settings.bounds
         return [
             self.views.follow(
-                adapter.config_table, self._take_config, bounds.config, pause=CONFIG_PAUSE
+                adapter.config_table, self._apply_config, bounds.config, pause=CONFIG_PAUSE_SECONDS
             ),
-            self.views.follow(adapter.endpoint_table, self._take_endpoints, bounds.leaving),
+            self.views.follow(adapter.endpoint_table, self._apply_endpoints, bounds.leaving),
         ]
 
     # Work that is repeated
 
-    async def _look_round(self) -> None:
+    async def _refresh_membership(self) -> None:
         self.peers.membership.sweep()
         self.peers.link()
         # All that are known, also those out of reach: what each may repeat must not add up to more
         # than the whole while hosts don't hear each other.
         self.service.hosts = len(self.peers.membership.members())
-        self.views.note_ages()
+        self.views.record_ages()
 
-    def _word_seconds(self, least: float, seldom: float = 1.0) -> float:
+    def _publish_interval(self, min_seconds: float, factor: float = 1.0) -> float:
         """Return the time until the next word to the hub, which takes in so many a second."""
-        return max(least, seldom * len(self.peers.board.on("host")) / WORDS_PER_SECOND)
+        return max(min_seconds, factor * len(self.peers.facts.on("host")) / HUB_FACTS_PER_SECOND)
 
-    async def _tell_work(self) -> None:
-        self.peers.tell_work()
-        self.peers.tell_wants()
-        self.peers.tell_loads()
+    async def _publish_work(self) -> None:
+        self.peers.publish_work()
+        self.peers.publish_wants()
+        self.peers.publish_loads()
         self.quotas.tell()
-        self.words.tell()
+        self.notices.publish()
         self.permits.look()
         self.blocklist.tell()
-        self.views.keep_telling()
+        self.views.publish_unchanged()
 
-    async def _tell_runs(self) -> None:
-        self.peers.tell_runs()
+    async def _publish_runs(self) -> None:
+        self.peers.publish_runs()
 
-    async def _tell_demand(self) -> None:
-        self.peers.tell_demand()
+    async def _publish_demand(self) -> None:
+        self.peers.publish_demand()
 
-    def _hear_resigned(self, term: int, handover: Handover) -> None:
-        self.leadership.hear(term, handover)
-        if self._stands_by():
+    def _on_resigned(self, term: int, handover: Handover) -> None:
+        self.leadership.receive_resignation(term, handover)
+        if self._is_standby():
             self.lease_due.set()
 
-    def _hear_term(self, term: int) -> None:
+    def _on_term(self, term: int) -> None:
         """Ask the store anew when a host has just taken the lease in it: it was away, maybe."""
-        if term > self._heard_term > 0:
-            self.views.renew()
-        self._heard_term = max(term, self._heard_term)
+        if term > self._last_term > 0:
+            self.views.refresh()
+        self._last_term = max(term, self._last_term)
 
-    def _stands_by(self) -> bool:
+    def _is_standby(self) -> bool:
         live = {*self.peers.membership.live(), self.settings.host}
-        first = 1 if len(live) >= MANY_HOSTS else 0
-        return self.settings.host in self.peers.rank(live)[first : first + STANDBYS]
+        first = 1 if len(live) >= HUB_NOT_STANDBY_HOSTS else 0
+        return self.settings.host in self.peers.rank(live)[first : first + STANDBY_HOSTS]
 
     def _lease_seconds(self) -> float:
         if self.leadership.term:
-            return HOLDER_SECONDS
-        if not self._stands_by():
-            return OTHERS_SECONDS
-        if not self.peers.has_leader():
-            return URGENT_SECONDS
+            return HOLDER_STEP_SECONDS
+        if not self._is_standby():
+            return OTHER_HOSTS_STEP_SECONDS
+        if not self.peers.has_lease_holder():
+            return URGENT_STEP_SECONDS
         lapses_in = self.leadership.lapses_in()
         if lapses_in is None:
-            return STANDBY_SECONDS
-        return max(LEAST_WAIT, lapses_in) if lapses_in > 0 else URGENT_SECONDS
+            return STANDBY_STEP_SECONDS
+        return max(MIN_LEASE_WAIT_SECONDS, lapses_in) if lapses_in > 0 else URGENT_STEP_SECONDS
 
-    def _may_lapse(self) -> bool:
+    def _should_check_lease(self) -> bool:
         """Tell whether to look at another's lease: not while the holder's own word is new."""
-        if not self.peers.has_leader():
+        if not self.peers.has_lease_holder():
             return True
         lapses_in = self.leadership.lapses_in()
-        return self._stands_by() and (lapses_in is None or lapses_in <= 0)
+        return self._is_standby() and (lapses_in is None or lapses_in <= 0)
 
-    def _has_met_others(self) -> bool:
+    def _discovery_done(self) -> bool:
         """Tell whether this host has had the time to link to others, or has no time to lose.
 
         Hosts that start together each think at first that they are alone, and all of them would
         try for the lease. Where a configuration is in force, callers wait for orders already.
         """
         started_for = self.ctx.clock.monotonic() - self._started_at
-        return self.front.deployment is not None or started_for >= MEET_SECONDS
+        return self.front.deployment is not None or started_for >= DISCOVERY_SECONDS
 
     async def _step_lease(self) -> None:
-        if self.leaving or not self._has_met_others():
+        if self.leaving or not self._discovery_done():
             return
-        if self.leadership.term or self._may_lapse():
+        if self.leadership.term or self._should_check_lease():
             held = self.leadership.term
             await self.leadership.step()
             if self.leadership.term > held:
-                self.keep_due.set()
-            self._hear_term(self.leadership.term)
-            self.peers.meet(self.leadership.holder_machine)
+                self.blocklist_due.set()
+            self._on_term(self.leadership.term)
+            self.peers.connect_unless_known(self.leadership.holder_address)
 
     async def _order(self) -> None:
         """Plan when something is waited for or has changed, and now and then."""
-        events = (self.peers.wanted, self.orderer.changed)
+        events = (self.peers.wants_changed, self.orderer.changed)
         while True:
             for event in events:
                 event.clear()
@@ -302,9 +312,11 @@
             if deployment is not None and self.leadership.holds():
                 began = self.ctx.clock.monotonic()
                 await self._try_plan(deployment)
-                await self.ctx.clock.sleep(PLAN_REST * (self.ctx.clock.monotonic() - began))
+                await self.ctx.clock.sleep(PLAN_PAUSE_FACTOR * (self.ctx.clock.monotonic() - began))
             waits = [asyncio.ensure_future(event.wait()) for event in events]
-            await asyncio.wait(waits, timeout=PLAN_SECONDS, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                waits, timeout=PLAN_INTERVAL_SECONDS, return_when=asyncio.FIRST_COMPLETED
+            )
             for wait in waits:
                 wait.cancel()
 
@@ -320,15 +332,15 @@
         except Exception:
             log.exception("plan failed")
             self._failed_plans += 1
-            await self.ctx.clock.sleep(PLAN_SECONDS)
-            if self._failed_plans >= MOST_FAILED_PLANS:
-                await self.leadership.give_up()
+            await self.ctx.clock.sleep(PLAN_INTERVAL_SECONDS)
+            if self._failed_plans >= MAX_FAILED_PLANS:
+                await self.leadership.release()
 
     def _plan(self, deployment: Deployment) -> None:
         peers = self.peers
-        self.orderer.round(deployment, peers.demand(), peers.down(), peers.running())
-        news, loads = self.orderer.news(), self.orderer.loads()
-        self.peers.tell_orders(self.leadership.term, news, loads)
+        self.orderer.plan_orders(deployment, peers.demand(), peers.down(), peers.running())
+        updates, loads = self.orderer.make_updates(), self.orderer.recent_loads()
+        self.peers.publish_orders(self.leadership.term, updates, loads)
 
     def _ready(self) -> bool:
         """Tell whether callers may be sent here."""
@@ -337,7 +349,7 @@
 
     # What the store tells
 
-    def _take_config(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
+    def _apply_config(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
         raw = rows.get(self.adapter.config_key)
         if raw is None:
             return
@@ -345,31 +357,31 @@
         if failed(found):
             self.ctx.timeline.add("config_refused", "ERROR", detail=found.reason)
             return
-        self._put_in_force(found)
+        self._set_deployment(found)
 
-    def _tell_state(self) -> None:
+    def _publish_state(self) -> None:
         """Tell other hosts whether callers may be sent here: what readiness says, in short."""
         if self.leaving or self.front.deployment is None:
             return
         self.peers.membership.become("live" if self._ready() else "starting")
 
-    def _put_in_force(self, found: Deployment) -> None:
+    def _set_deployment(self, found: Deployment) -> None:
         """Serve by this configuration from now on, never by an older one again."""
         current = self.front.deployment
         if current is not None and found.version <= current.version:
             return
         self.front.deployment = found
-        self.room.deployment = found
+        self.waiting_room.deployment = found
         self.grants.server.take_deployment(found)
         self.quotas.take_deployment(found)
-        self._tell_state()
+        self._publish_state()
         if current is None:
             self.lease_due.set()
         self.ctx.metrics.generation.set(found.version)
         self.ctx.timeline.add("config_in_force", detail=f"version {found.version}")
 
-    def _take_endpoints(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
-        self._entries.take(rows, whole)
+    def _apply_endpoints(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
+        self._entries.apply_rows(rows, whole)
         self.orderer.changed.set()
 
     def _drop_connections(self, address: str) -> None:
@@ -380,13 +392,13 @@
 
     async def run(self) -> None:
         """Serve until told to stop, then leave without cutting anything off."""
-        told = asyncio.Event()
+        stop_requested = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, told.set)
+            loop.add_signal_handler(number, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._note_reload)
         await self.start()
-        await told.wait()
+        await stop_requested.wait()
         await self.drain()
 
     def _note_reload(self) -> None:
@@ -412,9 +424,9 @@
         self.leaving = True
         self.ctx.timeline.add("leaving")
         self.peers.membership.become("leaving")
-        await self.leadership.give_up()
-        await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_FACTOR, bounds.stopping / 2))
-        until = began + bounds.stopping - STOP_MARGIN
+        await self.leadership.release()
+        await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_CACHE_FACTOR, bounds.stopping / 2))
+        until = began + bounds.stopping - STOP_MARGIN_SECONDS
         while self.front.in_work and clock.monotonic() < until:
             await clock.sleep(DRAIN_POLL_SECONDS)
         self.peers.membership.become("gone")
--- a/peridotdock/relay/leadership.py
+++ b/peridotdock/relay/leadership.py
@@ -20,13 +20,13 @@
 
 LEASE_KEY = "leader"
 # Seconds without a renewal after which the lease has lapsed for those that stand by.
-LAPSE_SECONDS = 2.0
+LEASE_LAPSE_SECONDS = 2.0
 # Seconds that an order takes at most to reach its engine, over a new connection and a slow link.
-ORDER_SECONDS = 0.4
+MAX_ORDER_TRANSIT_SECONDS = 0.4
 # Seconds after a renewal for which the holder acts.
-ACT_SECONDS = LAPSE_SECONDS - ORDER_SECONDS
+HOLDER_ACT_SECONDS = LEASE_LAPSE_SECONDS - MAX_ORDER_TRANSIT_SECONDS
 # Seconds for one call; a store that is sixty times slower than usual answers within a quarter.
-CALL_SECONDS = 0.6
+STORE_CALL_SECONDS = 0.6
 NEVER = float("-inf")
 T = TypeVar("T")
 
@@ -38,7 +38,7 @@
     wait: float = 0.0
     engines: Mapping[str, float] = field(default_factory=dict)
 
-    def after(self, seconds: float) -> "Handover":
+    def remaining_after(self, seconds: float) -> "Handover":
         """Return what is left of it some seconds later."""
         engines = {engine: wait - seconds for engine, wait in self.engines.items()}
         left = {engine: wait for engine, wait in engines.items() if wait > 0}
@@ -51,7 +51,7 @@
 
     term: int
     handover: Handover
-    at: float
+    received_at: float
 
 
 class Leadership:
@@ -66,17 +66,17 @@
         self,
         ctx: Context,
         store: Platform,
-        gap: float,
+        order_gap: float,
         clock: UptimeClock,
-        machine: str = "",
+        address: str = "",
         suspect: Callable[[], None] = lambda: None,
         store_time: StoreTime | None = None,
     ):
         self._ctx = ctx
-        self._machine = machine
+        self._address = address
         self._store = store
         self._suspect = suspect
-        self._gap = gap + ORDER_SECONDS
+        self._order_gap = order_gap + MAX_ORDER_TRANSIT_SECONDS
         self._clock = clock
         self._store_time = store_time or StoreTime(clock.seconds)
         self._seen_version: int | None = None
@@ -85,19 +85,19 @@
         self._version = 0
         self.on_renewed: Callable[[int, int], None] = lambda term, version: None
         self.on_resigned: Callable[[int, Handover], None] = lambda term, handover: None
-        self._until = NEVER
+        self._held_until = NEVER
         self._orders_from = 0.0
         self._engines_from: dict[str, float] = {}
-        self._others_from = 0.0
+        self._successor_from = 0.0
         self._ordered_at: dict[str, float] = {}
-        self._heard: Resignation | None = None
+        self._resignation: Resignation | None = None
         self.term = 0
-        self.resigned = 0
-        self.holder_machine = ""
+        self.resigned_term = 0
+        self.holder_address = ""
 
     def holds(self) -> bool:
         """Tell whether this host holds the lease now."""
-        return self.term > 0 and self._clock.seconds() < self._until
+        return self.term > 0 and self._clock.seconds() < self._held_until
 
     def may_order(self, engine: str = "") -> bool:
         """Tell whether this host may order an engine now, or without one, those not named lately.
@@ -109,15 +109,17 @@
         opens = max(self._orders_from, self._engines_from.get(engine, NEVER))
         return self.holds() and self._clock.seconds() >= opens
 
-    def ordered(self, engine: str) -> None:
+    def record_order(self, engine: str) -> None:
         """Note that an order is sent to an engine now."""
         now = self._clock.seconds()
-        lately = {name: at for name, at in self._ordered_at.items() if now - at < self._gap}
+        lately = {name: at for name, at in self._ordered_at.items() if now - at < self._order_gap}
         self._ordered_at = lately | {engine: now}
 
-    def inherited(self) -> Handover:
+    def inherited_handover(self) -> Handover:
         """Return what is left of the wait for the orders of holders before."""
-        return Handover(self._orders_from, self._engines_from).after(self._clock.seconds())
+        return Handover(self._orders_from, self._engines_from).remaining_after(
+            self._clock.seconds()
+        )
 
     def handover(self) -> Handover:
         """Return how long another host must wait that takes the lease now.
@@ -125,23 +127,23 @@
         Failure guarded against: a holder that has just taken over resigns, and the next one orders
         an engine soon after the one before both.
         """
-        own = {engine: at + self._gap for engine, at in self._ordered_at.items()}
-        wait = max(self._orders_from, self._others_from)
-        return Handover(wait, self._engines_from | own).after(self._clock.seconds())
+        own = {engine: at + self._order_gap for engine, at in self._ordered_at.items()}
+        wait = max(self._orders_from, self._successor_from)
+        return Handover(wait, self._engines_from | own).remaining_after(self._clock.seconds())
 
-    def hear(self, term: int, handover: Handover) -> None:
+    def receive_resignation(self, term: int, handover: Handover) -> None:
         """Take in another holder's resignation."""
-        if self._heard is None or term > self._heard.term:
-            self._heard = Resignation(term, handover, self._clock.seconds())
+        if self._resignation is None or term > self._resignation.term:
+            self._resignation = Resignation(term, handover, self._clock.seconds())
 
-    def hear_renewed(self, term: int, version: int) -> None:
+    def receive_renewal(self, term: int, version: int) -> None:
         """Take in the holder's word that it has just renewed.
 
         It comes after the renewal, so the lease is never thought to lapse before it does.
         """
         if self.term == 0:
             self._seen_version, self._seen_at = version, self._clock.seconds()
-            self._lapses_at = self._seen_at + LAPSE_SECONDS
+            self._lapses_at = self._seen_at + LEASE_LAPSE_SECONDS
 
     def lapses_in(self) -> float | None:
         """Return the seconds until the lease of another lapses unless it is renewed, if known."""
@@ -149,13 +151,13 @@
             return None
         return self._lapses_at - self._clock.seconds()
 
-    async def _in_time(self, work: Awaitable[T]) -> T | Failure:
+    async def _with_timeout(self, work: Awaitable[T]) -> T | Failure:
         """Wait for a call of the store, not longer than the lease can bear.
 
         Where it is lost, no kept connection is taken for the next call: all may be silent.
         """
         try:
-            async with asyncio.timeout(CALL_SECONDS):
+            async with asyncio.timeout(STORE_CALL_SECONDS):
                 return await work
         except TimeoutError:
             self._suspect()
@@ -164,55 +166,55 @@
     async def step(self) -> None:
         """Renew the lease, or take it when its holder has let it lapse or has resigned."""
         if self.term == 0:
-            await self._try()
+            await self._try_acquire()
         elif not self.holds():
-            self._lose("not renewed in time")
+            self._lose_lease("not renewed in time")
         else:
             await self._renew()
 
     async def _renew(self) -> None:
         """Renew, and once more at once where the call was lost: the next turn would be too late."""
-        if await self._rewrite():
+        if await self._renew_once():
             return
-        rows = await self._in_time(self._store.read([LEASE_KEY]))
+        rows = await self._with_timeout(self._store.read([LEASE_KEY]))
         if failed(rows) or LEASE_KEY not in rows:
             return
         row = rows[LEASE_KEY]
         if row.value.get("holder") != self._ctx.incarnation:
-            self._lose("another host took over")
+            self._lose_lease("another host took over")
             return
         self._version = row.version
         if self.holds():
-            await self._rewrite()
+            await self._renew_once()
 
-    async def _rewrite(self) -> bool:
+    async def _renew_once(self) -> bool:
         began = self._clock.seconds()
-        outcome = await self._in_time(self._write(self._version, self.term))
+        outcome = await self._with_timeout(self._write(self._version, self.term))
         if failed(outcome):
             return False
         self._version = outcome
-        self._until = began + ACT_SECONDS
+        self._held_until = began + HOLDER_ACT_SECONDS
         self.on_renewed(self.term, outcome)
         return True
 
-    def _lose(self, why: str) -> None:
+    def _lose_lease(self, why: str) -> None:
         self._ctx.timeline.add("lease_lost", "WARNING", detail=f"term {self.term}: {why}")
         self._resign()
-        self._until = NEVER
+        self._held_until = NEVER
         self._seen_version = None
 
     def _resign(self) -> None:
-        self.resigned, self.term = self.term, 0
-        self.on_resigned(self.resigned, self.handover())
+        self.resigned_term, self.term = self.term, 0
+        self.on_resigned(self.resigned_term, self.handover())
 
-    async def _try(self) -> None:
-        rows = await self._in_time(self._store.read([LEASE_KEY]))
+    async def _try_acquire(self) -> None:
+        rows = await self._with_timeout(self._store.read([LEASE_KEY]))
         if failed(rows):
             return
         row = rows.get(LEASE_KEY)
         version = row.version if row else 0
         now = self._clock.seconds()
-        self.holder_machine = row.value.get("machine", "") if row else ""
+        self.holder_address = row.value.get("machine", "") if row else ""
         if version != self._seen_version:
             self._seen_version, self._seen_at = version, now
         wait = self._wait_after(row, now)
@@ -222,11 +224,11 @@
         # Set before the row is written, which tells what is left of them.
         self._orders_from = now + wait.wait
         self._engines_from = {engine: now + more for engine, more in wait.engines.items()}
-        outcome = await self._in_time(self._write(version, term))
+        outcome = await self._with_timeout(self._write(version, term))
         if failed(outcome):
             return
         self.term, self._version = term, outcome
-        self._until = now + ACT_SECONDS
+        self._held_until = now + HOLDER_ACT_SECONDS
         self.on_renewed(term, outcome)
         rest = f", {len(wait.engines)} engines later" if wait.engines else ""
         self._ctx.timeline.add(
@@ -237,59 +239,59 @@
         """Return how long to wait with orders, or None while the lease is another's."""
         if row is None:
             return Handover()
-        heard = self._heard
-        if heard is not None and heard.term == row.value["term"]:
-            return heard.handover.after(now - heard.at)
+        notice = self._resignation
+        if notice is not None and notice.term == row.value["term"]:
+            return notice.handover.remaining_after(now - notice.received_at)
         if not row.value["holder"]:
-            return read_handover(row, "handover", self._gap)
-        if self._machine and row.value.get("machine") == self._machine:
+            return read_handover(row, "handover", self._order_gap)
+        if self._address and row.value.get("machine") == self._address:
             # The holder was this host's last process, which has ended: all hosts were killed at
             # once, say. To engines it is the same holder, so neither lapse nor gap is waited for.
             # What it ordered is not known here, so a host that follows waits as after any order.
-            self._others_from = now + self._gap
-            return read_handover(row, "inherited", self._gap)
-        past = self._past_acting(row, now)
-        left = LAPSE_SECONDS - ACT_SECONDS - past
+            self._successor_from = now + self._order_gap
+            return read_handover(row, "inherited", self._order_gap)
+        past = self._seconds_since_acting(row, now)
+        left = LEASE_LAPSE_SECONDS - HOLDER_ACT_SECONDS - past
         if left > 0:
             self._lapses_at = now + left
             return None
-        return Handover(self._gap).after(past)
+        return Handover(self._order_gap).remaining_after(past)
 
-    def _past_acting(self, row: Row, now: float) -> float:
+    def _seconds_since_acting(self, row: Row, now: float) -> float:
         """Return how long ago, at least, the holder in the row gave its last possible order.
 
         The store's clock tells where the row's last change was not heard of. Failure guarded
         against: a holder renews and is lost before it can say so, and the lease is thought new when
         another host reads it seconds later.
         """
-        seen = now - self._seen_at - ACT_SECONDS
-        told, at_least = row.value.get("acts_until"), self._store_time.earliest()
-        if not isinstance(told, float) or at_least is None:
+        seen = now - self._seen_at - HOLDER_ACT_SECONDS
+        acts_until, at_least = row.value.get("acts_until"), self._store_time.earliest()
+        if not isinstance(acts_until, float) or at_least is None:
             return seen
-        return max(seen, at_least - told)
+        return max(seen, at_least - acts_until)
 
     async def _write(self, version: int, term: int, holder: str | None = None) -> int | Failure:
         at_most = self._store_time.latest()
         value = {
             "holder": self._ctx.incarnation if holder is None else holder,
-            "machine": self._machine,
+            "machine": self._address,
             "term": term,
-            "acts_until": None if at_most is None else at_most + ACT_SECONDS,
+            "acts_until": None if at_most is None else at_most + HOLDER_ACT_SECONDS,
             "handover": asdict(self.handover()),
-            "inherited": asdict(self.inherited()),
+            "inherited": asdict(self.inherited_handover()),
         }
         tx = Transaction({LEASE_KEY: version}, {LEASE_KEY: value})
         outcome = await commit_surely(self._store, tx)
         return outcome if failed(outcome) else outcome.version
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Free the lease, so that others need not wait for it to lapse."""
         if self.term == 0:
             return
         term = self.term
         # Told before the row is free: whoever takes it has heard then what was loaded last.
         self._resign()
-        outcome = await self._in_time(self._write(self._version, term, holder=""))
+        outcome = await self._with_timeout(self._write(self._version, term, holder=""))
         detail = f"term {term}" if not failed(outcome) else f"term {term}: {outcome.reason}"
         self._ctx.timeline.add("lease_freed", detail=detail)
 
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -21,47 +21,47 @@
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.relay.asks import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.late import LateOrders
+from peridotdock.relay.unanswered_orders import UnansweredOrders
 from peridotdock.relay.leadership import Leadership
-from peridotdock.relay.records import NOTHING_RUNS, EngineRecord, order_seconds
+from peridotdock.relay.records import NO_REQUESTS, EngineRecord, order_seconds
 from peridotdock.relay.settings import Bounds
 from peridotdock.schema.messages import EngineNews
 
 # Seconds after which an adapter that was ordered can serve: its load takes five to ten
 # milliseconds, and a request that comes sooner is refused.
-ADAPTER_SECONDS = 0.012
+ADAPTER_LOAD_SECONDS = 0.012
 # Seconds that an engine gets no order after it refused one: its report is as old as that.
-REFUSED_PAUSE = 0.35
+REFUSED_PAUSE_SECONDS = 0.35
 # Seconds after an accepted unload at which the load that it makes room for is tried. The first try
 # is often refused as too soon and the next accepted; a report would tell of the end 0.2 s late.
-SWAP_SECONDS = 0.03
+SWAP_DELAY_SECONDS = 0.03
 # Least and longest pause, in seconds, before such a load is tried again while requests still run.
-SWAP_AGAIN_SECONDS = (0.1, 0.5)
+SWAP_RETRY_SECONDS = (0.1, 0.5)
 # Seconds for which an engine that was emptied for a model is kept for it.
-PROMISE_SECONDS = 8.0
+RESERVATION_SECONDS = 8.0
 # Seconds that a new holder waits for the first report of each engine, at most.
-LOOK_SECONDS = 1.0
+FIRST_REPORTS_SECONDS = 1.0
 # Seconds of demand after which placement goes by it alone: every busy model is asked for by then.
-SETTLED_SECONDS = 8.0
+DEMAND_SETTLED_SECONDS = 8.0
 # Seconds after which the word of all hosts on what runs, and on what is asked for, has come.
-HEAR_SECONDS = 1.0
+HOST_FACTS_SECONDS = 1.0
 # Answers that say that an order is not carried out, now or later.
-NOT_DONE = frozenset(
+REJECTED = frozenset(
     {OrderAnswer.BUSY, OrderAnswer.REFUSED, OrderAnswer.FENCED, OrderAnswer.ANOTHER}
 )
 
 
 # Asks whether a call may be made now to the endpoint of an id.
-AskPermit = Callable[[str], Awaitable[Permit]]
+RequestPermit = Callable[[str], Awaitable[Permit]]
 
 
-async def permit_all(key: str) -> Permit:
+async def permit_always(key: str) -> Permit:
     """Let all calls be made."""
     return NO_WAIT
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class Reservation:
     """The model that an engine was emptied for, and until when it is kept for it."""
 
     model: str
@@ -84,19 +84,21 @@
         self._engines = engines
         self._leadership = leadership
         self._bounds = bounds
-        self._rations: dict[str, LoadRation] = {}
+        self._load_limiters: dict[str, LoadRation] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._promises: dict[str, Promise] = {}
-        self._late = LateOrders()
+        self._reservations: dict[str, Reservation] = {}
+        self._unanswered = UnansweredOrders()
         self._term = 0
         self._began = 0.0
         self._demand_since: float | None = None
         self.records: dict[str, EngineRecord] = {}
         self.changed = asyncio.Event()
-        self.ask_permit: AskPermit = permit_all
-        self.heard_loads: Callable[[int], Mapping[str, list[float]] | None] = lambda term: None
+        self.request_permit: RequestPermit = permit_always
+        self.find_holder_loads: Callable[[int], Mapping[str, list[float]] | None] = (
+            lambda term: None
+        )
 
-    def round(
+    def plan_orders(
         self,
         deployment: Deployment,
         demand: Mapping[str, Demand],
@@ -114,7 +116,7 @@
             self._take_over(deployment)
         self._follow_entries()
         for key in self.records.keys() & set(down):
-            self.records[key].unsure = True
+            self.records[key].needs_report = True
         for service in deployment.services.values():
             if service.engine is not None:
                 self._plan(service, service.engine, demand, running)
@@ -125,50 +127,56 @@
         self._began = self._ctx.clock.monotonic()
         self._demand_since = None
         self.records.clear()
-        self._promises.clear()
-        self._rations.clear()
-        heard = self.heard_loads(self._term - 1)
+        self._reservations.clear()
+        self._load_limiters.clear()
+        holder_loads = self.find_holder_loads(self._term - 1)
         for service in deployment.services.values():
             if service.engine is not None and self._term > 1:
-                ages = None if heard is None else heard.get(service.name, [])
-                self._ration(service).assume_used(self._ctx.clock.monotonic(), ages)
-        left = {name: row.left(self._ctx.clock.monotonic()) for name, row in self._rations.items()}
+                ages = None if holder_loads is None else holder_loads.get(service.name, [])
+                self._load_limiter(service).assume_used(self._ctx.clock.monotonic(), ages)
+        left = {
+            name: row.left(self._ctx.clock.monotonic()) for name, row in self._load_limiters.items()
+        }
         self._ctx.timeline.add(
             "orders_begin",
-            detail=f"term {self._term}, loads heard of {heard}, loads left {left}",
+            detail=f"term {self._term}, loads heard of {holder_loads}, loads left {left}",
         )
 
-    def _ration(self, service: Service) -> LoadRation:
-        found = self._rations.get(service.name)
+    def _load_limiter(self, service: Service) -> LoadRation:
+        found = self._load_limiters.get(service.name)
         if found is None:
             bounds = self._bounds
             found = LoadRation(
                 service.engine.loads_per_second, bounds.loads_window, bounds.loads_over
             )
-            self._rations[service.name] = found
+            self._load_limiters[service.name] = found
         return found
 
-    def loads(self) -> dict[str, tuple[float, ...]]:
+    def recent_loads(self) -> dict[str, tuple[float, ...]]:
         """Return when each load that counts was begun, by service."""
         now = self._ctx.clock.monotonic()
-        return {name: begun for name, row in self._rations.items() if (begun := row.begun(now))}
+        return {
+            name: begun for name, row in self._load_limiters.items() if (begun := row.begun(now))
+        }
 
     def _follow_entries(self) -> None:
         states = self._fleet.states
         self.records = {key: record for key, record in self.records.items() if key in states}
         for key, state in states.items():
             record = self.records.get(key)
-            if record is None or state.entry.born not in (record.born, record.entry.born):
-                record = self._begin(state.entry)
-            record.take_entry(state.entry)
+            if record is None or state.entry.born not in (record.started_ms, record.entry.born):
+                record = self._new_record(state.entry)
+            record.update_entry(state.entry)
 
-    def _begin(self, entry: EndpointEntry, born: int = 0) -> EngineRecord:
+    def _new_record(self, entry: EndpointEntry, started_ms: int = 0) -> EngineRecord:
         """Begin anew with an engine: it is new, or has started again under its id."""
-        record = self.records[entry.incarnation] = EngineRecord(entry, born)
+        record = self.records[entry.incarnation] = EngineRecord(entry, started_ms)
         state = self._fleet.states.get(entry.incarnation)
-        if state is not None and state.heard is not None:
-            record.recall(state.heard.news, state.heard.at, self._ctx.clock.monotonic())
-        self._promises.pop(entry.incarnation, None)
+        if state is not None and state.last_update is not None:
+            record.restore(
+                state.last_update.update, state.last_update.received_at, self._ctx.clock.monotonic()
+            )
+        self._reservations.pop(entry.incarnation, None)
         return record
 
     def _plan(
@@ -182,21 +190,26 @@
         records = [
             record
             for record in self.records.values()
-            if record.entry.service == service.name and not self._leaves(record)
+            if record.entry.service == service.name and not self._is_leaving(record)
         ]
         for record in records:
-            if record.overdue(now):
-                self._spawn(self._look(record))
-        records = [record for record in records if not record.down]
-        if any(record.unknown for record in records) and now < self._began + LOOK_SECONDS:
+            if record.report_due(now):
+                self._spawn(self._read_report(record))
+        records = [record for record in records if not record.unreachable]
+        if (
+            any(record.unreported for record in records)
+            and now < self._began + FIRST_REPORTS_SECONDS
+        ):
             # Failure guarded against: a new holder has read some reports and not others, takes
             # models on the others for held nowhere, and spends the ration on second copies.
             return
         for record in records:
-            record.pressure.look(self._ahead(record, now), now)
+            record.pressure.look(self._pending_tokens(record, now), now)
         views = [
             record.view(
-                now, self.late_items(record), running.get(record.entry.incarnation, NOTHING_RUNS)
+                now,
+                self.unanswered_items(record),
+                running.get(record.entry.incarnation, NO_REQUESTS),
             )
             for record in records
         ]
@@ -204,53 +217,55 @@
             record.entry.incarnation
             for record in records
             if record.in_flight
-            or record.unsure
+            or record.needs_report
             or not self._leadership.may_order(record.entry.incarnation)
-            or (now < record.quiet_until and not record.freeing and not record.loading)
+            or (now < record.paused_until and not record.freeing and not record.loading)
         }
-        ration = self._ration(service)
-        promised = self._promised(now)
-        settled = self._settled(demand, now)
-        stream = self._fleet.work(service.name, None).service
-        heard = self._heard(now)
+        limiter = self._load_limiter(service)
+        reserved = self._open_reservations(now)
+        settled = self._demand_settled(demand, now)
+        stream = self._fleet.estimate_work(service.name, None).service
+        host_facts = self._has_host_facts(now)
         for step in make_plan(
-            spec, views, demand, ration.left(now), promised, held_back, settled, stream, heard
+            spec, views, demand, limiter.left(now), reserved, held_back, settled, stream, host_facts
         ):
             if step.room_for:
-                self._promises[step.engine] = Promise(step.room_for, now + PROMISE_SECONDS)
+                self._reservations[step.engine] = Reservation(
+                    step.room_for, now + RESERVATION_SECONDS
+                )
             record = self.records[step.engine]
             record.in_flight = True
-            self._spawn(self._carry_out(record, service, spec, step))
+            self._spawn(self._execute(record, service, spec, step))
 
-    def _leaves(self, record: EngineRecord) -> bool:
+    def _is_leaving(self, record: EngineRecord) -> bool:
         """Tell whether an engine leaves: nothing is loaded there, and its copies don't count."""
         state = self._fleet.states.get(record.entry.incarnation)
         return record.entry.leaving or (state is not None and state.leaving)
 
-    def _settled(self, demand: Mapping[str, Demand], now: float) -> bool:
+    def _demand_settled(self, demand: Mapping[str, Demand], now: float) -> bool:
         """Tell whether demand has been known for long enough to place by it alone."""
         if not any(found.rate for found in demand.values()):
             self._demand_since = None
         elif self._demand_since is None:
             self._demand_since = now
-        return self._demand_since is not None and now - self._demand_since > SETTLED_SECONDS
+        return self._demand_since is not None and now - self._demand_since > DEMAND_SETTLED_SECONDS
 
-    def _heard(self, now: float) -> bool:
+    def _has_host_facts(self, now: float) -> bool:
         """Tell whether all hosts have had the time to tell this one what runs where."""
         since = self._began if self._demand_since is None else self._demand_since
-        return now - max(since, self._began) >= HEAR_SECONDS
+        return now - max(since, self._began) >= HOST_FACTS_SECONDS
 
-    def _promised(self, now: float) -> dict[str, str]:
+    def _open_reservations(self, now: float) -> dict[str, str]:
         """Return the promises that are open: not kept yet, and not too old."""
-        self._promises = {
-            key: promise
-            for key, promise in self._promises.items()
-            if key in self.records and promise.until > now
-            if promise.model not in {*self.records[key].loading, *self.records[key].models}
+        self._reservations = {
+            key: reservation
+            for key, reservation in self._reservations.items()
+            if key in self.records and reservation.until > now
+            if reservation.model not in {*self.records[key].loading, *self.records[key].models}
         }
-        return {key: promise.model for key, promise in self._promises.items()}
+        return {key: reservation.model for key, reservation in self._reservations.items()}
 
-    def _ahead(self, record: EngineRecord, now: float) -> float:
+    def _pending_tokens(self, record: EngineRecord, now: float) -> float:
         state = self._fleet.states.get(record.entry.incarnation)
         return float(state.load(now)[1]) if state else 0.0
 
@@ -259,7 +274,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _look(self, record: EngineRecord) -> None:
+    async def _read_report(self, record: EngineRecord) -> None:
         """Read an engine's report, to learn where it stands."""
         record.in_flight = True
         try:
@@ -267,42 +282,42 @@
                 return
             report = await self._engines.report(record.entry)
             now = self._ctx.clock.monotonic()
-            self._note_report(record, report)
-            record.down = failed(report) and report.kind is Kind.ENDPOINT_UNREACHABLE
+            self._log_report(record, report)
+            record.unreachable = failed(report) and report.kind is Kind.ENDPOINT_UNREACHABLE
             if not failed(report):
-                record = self._started_again(record, report)
-                record.take_report(report, now)
+                record = self._check_restart(record, report)
+                record.apply_report(report, now)
             # Another look before a report can have changed would only load the engine.
-            waits = record.unsure or record.loading or record.dropping or record.freeing
-            record.quiet_until = now + REFUSED_PAUSE if waits else 0.0
+            waits = record.needs_report or record.loading or record.dropping or record.freeing
+            record.paused_until = now + REFUSED_PAUSE_SECONDS if waits else 0.0
         finally:
             record.in_flight = False
             self.changed.set()
 
     async def _permitted(self, record: EngineRecord) -> bool:
         """Tell whether an engine may be called now; one that has named a limit rests until then."""
-        permit = await self.ask_permit(record.entry.incarnation)
+        permit = await self.request_permit(record.entry.incarnation)
         if not permit.given:
-            record.quiet_until = self._ctx.clock.monotonic() + permit.wait
+            record.paused_until = self._ctx.clock.monotonic() + permit.wait
         return permit.given
 
-    def _note_report(self, record: EngineRecord, report: EngineState | Failure) -> None:
+    def _log_report(self, record: EngineRecord, report: EngineState | Failure) -> None:
         """Count and log that an engine was asked for a report."""
-        word = f"{report.kind}: {report.reason}" if failed(report) else f"seq {report.seq}"
+        result = f"{report.kind}: {report.reason}" if failed(report) else f"seq {report.seq}"
         self._ctx.metrics.reports.labels("failed" if failed(report) else "read").inc()
-        self._ctx.timeline.add("report_read", endpoint=record.entry.incarnation, detail=word)
+        self._ctx.timeline.add("report_read", endpoint=record.entry.incarnation, detail=result)
 
-    def _started_again(self, record: EngineRecord, report: EngineState) -> EngineRecord:
+    def _check_restart(self, record: EngineRecord, report: EngineState) -> EngineRecord:
         """Return the record that a report is of: a new one where the engine has started again.
 
         An engine that can't reach the store shows a new start in its report alone.
         """
         key = record.entry.incarnation
-        if not 0 < record.born < report.born or self.records.get(key) is not record:
+        if not 0 < record.started_ms < report.born or self.records.get(key) is not record:
             return record
-        return self._begin(record.entry, report.born)
+        return self._new_record(record.entry, report.born)
 
-    async def _carry_out(
+    async def _execute(
         self, record: EngineRecord, service: Service, spec: EngineSpec, step: Step
     ) -> None:
         """Give one order and take in what came of it."""
@@ -314,38 +329,40 @@
         begun = self._ctx.clock.monotonic()
         loads = step.action is Action.LOAD and not step.adapter
         if loads and model and seconds >= model.load:
-            self._ration(service).begin(begun)
+            self._load_limiter(service).begin(begun)
         try:
             engine = record.entry.incarnation
             if not await self._permitted(record) or not self._leadership.may_order(engine):
-                self._ration(service).take_back(begun)
+                self._load_limiter(service).take_back(begun)
                 return
-            self._leadership.ordered(engine)
-            outcome = await self._give(record, order)
-            if outcome in NOT_DONE:
-                self._ration(service).take_back(begun)
+            self._leadership.record_order(engine)
+            outcome = await self._send_order(record, order)
+            if outcome in REJECTED:
+                self._load_limiter(service).take_back(begun)
             # Logged before the pauses that follow some answers, so that the line has its time.
-            self._note(record, step, order, outcome)
-            await self._settle(record, order, outcome, seconds)
+            self._log_order(record, step, order, outcome)
+            await self._apply_outcome(record, order, outcome, seconds)
         finally:
             record.in_flight = False
             self.changed.set()
 
-    async def _give(self, record: EngineRecord, order: EngineOrder) -> OrderAnswer | Failure:
+    async def _send_order(self, record: EngineRecord, order: EngineOrder) -> OrderAnswer | Failure:
         """Send an order; one without an answer may reach a later start of the engine."""
         key = record.entry.incarnation
-        self._late.sent(key, record.born, order, self._ctx.clock.monotonic())
+        self._unanswered.add(key, record.started_ms, order, self._ctx.clock.monotonic())
         outcome = await self._engines.order(record.entry, order)
         if not failed(outcome) or outcome.kind is Kind.ENDPOINT_UNREACHABLE:
-            self._late.answered(key, order)
+            self._unanswered.discard(key, order)
         return outcome
 
-    def late_items(self, record: EngineRecord) -> frozenset[str]:
+    def unanswered_items(self, record: EngineRecord) -> frozenset[str]:
         """Return what an engine may load yet by orders that were sent to a start before."""
         now = self._ctx.clock.monotonic()
-        return self._late.items(record.entry.incarnation, record.born, record.seq, now)
+        return self._unanswered.possible_items(
+            record.entry.incarnation, record.started_ms, record.seq, now
+        )
 
-    async def _settle(
+    async def _apply_outcome(
         self,
         record: EngineRecord,
         order: EngineOrder,
@@ -357,47 +374,47 @@
             # It may be carried out yet, seconds from now. Whatever order the engine accepts first
             # makes it void, as it expects the number of orders accepted until now; so the next one
             # needs no wait, and is refused if this one was carried out after all.
-            record.unsure = outcome.kind is Kind.ENDPOINT_UNREACHABLE
+            record.needs_report = outcome.kind is Kind.ENDPOINT_UNREACHABLE
         elif outcome is OrderAnswer.ACCEPTED and order.adapter and order.action is Action.UNLOAD:
             # Requests still use the adapter: it goes when they have ended, and takes its place
             # until then. Whether the order was counted shows in a report.
             record.freeing.add(f"{order.model}/{order.adapter}")
-            record.unsure = True
+            record.needs_report = True
             record.ordered_at = now
-            record.quiet_until = now + REFUSED_PAUSE
+            record.paused_until = now + REFUSED_PAUSE_SECONDS
         elif outcome is OrderAnswer.ACCEPTED:
-            record.accepted(order, now + seconds, now)
+            record.order_accepted(order, now + seconds, now)
             if order.adapter:
-                await self._ctx.clock.sleep(ADAPTER_SECONDS)
+                await self._ctx.clock.sleep(ADAPTER_LOAD_SECONDS)
             elif order.action is Action.UNLOAD:
-                await self._ctx.clock.sleep(SWAP_SECONDS)
+                await self._ctx.clock.sleep(SWAP_DELAY_SECONDS)
         elif outcome is OrderAnswer.BUSY and record.dropping:
             # Requests still use the model that makes room: the load waits for their end.
-            least, most = SWAP_AGAIN_SECONDS
+            least, most = SWAP_RETRY_SECONDS
             age = now - min(record.dropping.values())
             await self._ctx.clock.sleep(min(most, max(least, age / 2)))
         elif outcome is OrderAnswer.HOLDS_ALREADY and order.adapter:
             # An adapter that nobody uses is unloaded at once, and that counts as an order.
-            record.accepted(order, now, now)
-            record.unsure = order.action is Action.LOAD
+            record.order_accepted(order, now, now)
+            record.needs_report = order.action is Action.LOAD
         elif outcome is OrderAnswer.HOLDS_ALREADY:
-            record.unsure = True
+            record.needs_report = True
         else:
-            record.unsure = True
-            record.quiet_until = now + REFUSED_PAUSE
+            record.needs_report = True
+            record.paused_until = now + REFUSED_PAUSE_SECONDS
 
-    def _note(
+    def _log_order(
         self, record: EngineRecord, step: Step, order: EngineOrder, outcome: OrderAnswer | Failure
     ) -> None:
-        word = f"unanswered: {outcome.reason}" if failed(outcome) else outcome.value
-        self._ctx.metrics.orders.labels(order.action.value, word.partition(":")[0]).inc()
+        result = f"unanswered: {outcome.reason}" if failed(outcome) else outcome.value
+        self._ctx.metrics.orders.labels(order.action.value, result.partition(":")[0]).inc()
         item = f"{order.model}/{order.adapter}" if order.adapter else order.model
         self._ctx.timeline.add(
             "order_given",
             endpoint=record.entry.incarnation,
             item=item,
             detail=f"{order.action} {step.reason}, {step.running} running, "
-            f"expected {order.expected}: {word}",
+            f"expected {order.expected}: {result}",
         )
 
     async def stop(self) -> None:
@@ -406,7 +423,9 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def news(self) -> list[EngineNews]:
+    def make_updates(self) -> list[EngineNews]:
         """Return what the engines' entries may not show yet."""
         now = self._ctx.clock.monotonic()
-        return [record.news(now) for record in self.records.values() if record.has_news(now)]
+        return [
+            record.make_update(now) for record in self.records.values() if record.has_update(now)
+        ]
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -13,22 +13,22 @@
 from peridotdock.links import Link
 from peridotdock.membership import Member, Membership
 from peridotdock.mesh import Mesh
-from peridotdock.relay.endpoint import OthersLoad
+from peridotdock.relay.endpoint import RemoteLoad
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.leadership import Handover
-from peridotdock.relay.reach import Reach
+from peridotdock.relay.reachability import Reachability
 from peridotdock.relay.settings import HostSettings
-from peridotdock.relay.sums import (
+from peridotdock.relay.aggregation import (
     Work,
     add_load,
     add_runs,
-    alive_facts,
-    differs,
-    read_work,
+    live_facts,
+    demand_changed,
+    decode_work,
     sum_demand,
-    without,
-    write_runs,
-    write_work,
+    subtract_work,
+    encode_runs,
+    encode_work,
 )
 from peridotdock.rendezvous import weigh
 from peridotdock.schema.messages import (
@@ -41,20 +41,20 @@
 )
 
 # Seconds after which another host's word on demand no longer counts.
-DEMAND_SECONDS = 6.0
+MAX_DEMAND_AGE_SECONDS = 6.0
 # Seconds for which a peak of demand is held: a rare model is asked for every ten seconds or so, and
 # its copy should last through several such gaps.
-PEAK_SECONDS = 30.0
+DEMAND_PEAK_SECONDS = 30.0
 # Facts that go to the hub and not from it to all hosts.
-UPWARD = frozenset({"work", "runs", "wants", "demand", "usage", "heard_words"})
+HUB_TOPICS = frozenset({"work", "runs", "wants", "demand", "usage", "heard_words"})
 # Those of them that the hub does not pass on.
-FOR_HUB = frozenset({"work", "usage", "heard_words"})
+HUB_ONLY_TOPICS = frozenset({"work", "usage", "heard_words"})
 # Seconds after which the hub tells the sum of the loads again although it has not changed.
-LOADS_SECONDS = 1.0
+LOADS_REPEAT_SECONDS = 1.0
 # Seconds after which news that lasts is told again: half of the time for which it is believed.
-NEWS_AGAIN_SECONDS = 2.5
+UPDATE_REPEAT_SECONDS = 2.5
 # Hosts whose weight is remembered: more than there are links to a hub.
-MOST_HASHES = 1000
+MAX_CACHED_HASHES = 1000
 
 
 class Peers:
@@ -64,10 +64,10 @@
         self._ctx = ctx
         self._settings = settings
         self._fleet = fleet
-        self.board = Board(settings.host, ctx.epoch, ctx.clock)
-        self.mesh = Mesh(ctx, self.board, give_body, self._choose_hub, self._audience)
-        self._leader = ""
-        self._told_hub = ""
+        self.facts = Board(settings.host, ctx.epoch, ctx.clock)
+        self.mesh = Mesh(ctx, self.facts, give_body, self._choose_links, self._select_links)
+        self._lease_holder = ""
+        self._linked_hub = ""
         own = HostFact(
             settings.host,
             ctx.incarnation,
@@ -78,18 +78,20 @@
             0,
             int(settings.strong),
         )
-        reach = Reach(self.board, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_heard)
-        self.membership = Membership(self.board, own, ctx.clock, reach)
-        self.meter = DemandMeter(PEAK_SECONDS)
+        reach = Reachability(
+            self.facts, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_heard
+        )
+        self.membership = Membership(self.facts, own, ctx.clock, reach)
+        self.demand_meter = DemandMeter(DEMAND_PEAK_SECONDS)
         self.waiting: dict[str, int] = {}
         self.queued: Callable[[], dict[str, int]] = dict
-        self.wanted = asyncio.Event()
-        self._told_orders: tuple | None = None
-        self._told_orders_at = 0.0
+        self.wants_changed = asyncio.Event()
+        self._published_orders: tuple | None = None
+        self._published_orders_at = 0.0
         self.on_resigned: Callable[[int, Handover], None] = lambda term, handover: None
         self.on_lease: Callable[[int, int], None] = lambda term, version: None
         self.on_term: Callable[[int], None] = lambda term: None
-        self.board.listen(self._changed)
+        self.facts.listen(self._changed)
 
     async def start(self) -> None:
         """Open the links."""
@@ -108,15 +110,15 @@
         found.pop(self._settings.host, None)
         self.mesh.connect_to(found)
         for seed in self._settings.seeds:
-            self.meet(str(seed))
+            self.connect_unless_known(str(seed))
         hub = self._hub()
-        if hub != self._told_hub:
-            self._told_hub = hub
+        if hub != self._linked_hub:
+            self._linked_hub = hub
             self.mesh.offer_again(hub, self._settings.host)
         if hub in self.mesh.peers():
             self.mesh.keep_only(hub)
 
-    def meet(self, address: str) -> None:
+    def connect_unless_known(self, address: str) -> None:
         """Link to the host at an address, unless a live host is known there.
 
         Failure guarded against: hosts that start together find different seeds, and groups of them
@@ -135,7 +137,7 @@
         able = [
             name for name, member in members.items() if member.alive and name not in passed_over
         ]
-        return max([*able, own], key=lambda name: lead_weight(name, members))
+        return max([*able, own], key=lambda name: hub_weight(name, members))
 
     def rank(self, names: Iterable[str]) -> list[str]:
         """Return hosts in the order in which they are to lead and to pass facts on.
@@ -144,9 +146,9 @@
         processor come last: as the hub they would hold up their own streams.
         """
         members = self.membership.members()
-        return sorted(names, key=lambda name: lead_weight(name, members), reverse=True)
+        return sorted(names, key=lambda name: hub_weight(name, members), reverse=True)
 
-    def _choose_hub(self, others: Mapping[str, str]) -> list[str]:
+    def _choose_links(self, others: Mapping[str, str]) -> list[str]:
         """Return the hosts to link to: the hub, or for the hub one that nobody hears any more.
 
         Failure guarded against: links between two groups of hosts fail for a while, each group
@@ -161,21 +163,21 @@
 
     def _changed(self, slots: list[Slot]) -> None:
         for origin, topic in slots:
-            known = self.board.get(origin, topic)
+            known = self.facts.get(origin, topic)
             if known is None:
                 continue
             if topic == "links" and origin == self._settings.host:
                 self.link()
             if topic == "wants":
-                self.wanted.set()
+                self.wants_changed.set()
             elif topic == "orders":
-                self._take_orders()
+                self._apply_orders()
             elif topic == "lease" and origin != self._settings.host:
                 self.on_lease(known.fact.term, known.fact.version)
             elif topic == "loads" and origin != self._settings.host and not self.is_hub():
-                self._take_loads(known)
+                self._apply_loads(known)
 
-    def _audience(self, slot: Slot, links: Collection[Link]) -> Iterable[Link]:
+    def _select_links(self, slot: Slot, links: Collection[Link]) -> Iterable[Link]:
         """Return those among ``links`` that pass a fact on.
 
         What hosts have on endpoints, have used of quotas and have heard of them in answers goes to
@@ -184,14 +186,14 @@
         The hub may have dialled this host.
         """
         origin, topic = slot
-        if topic not in UPWARD:
+        if topic not in HUB_TOPICS:
             return links
         own = origin == self._settings.host
-        if topic in FOR_HUB and not own:
+        if topic in HUB_ONLY_TOPICS and not own:
             return ()
-        to = {self._told_hub} if own else set()
-        if topic not in FOR_HUB:
-            to.add(self._leader)
+        to = {self._linked_hub} if own else set()
+        if topic not in HUB_ONLY_TOPICS:
+            to.add(self._lease_holder)
         return [link for link in links if link.peer.host in to or (own and link.dialled)]
 
     def hub(self) -> str:
@@ -202,7 +204,7 @@
         """Tell whether this host is the hub, as seen from here."""
         return self._hub() == self._settings.host
 
-    def part(self, over: float = 0.0) -> float:
+    def hub_share(self, over: float = 0.0) -> float:
         """Return the part that this host may give, as the hub, of what all hosts share.
 
         ``over`` is the share by which that may be passed.
@@ -216,136 +218,138 @@
         rows = self.membership.members().items()
         return [name for name, row in rows if row.fact.state != "gone"]
 
-    def _take_loads(self, known: Known) -> None:
+    def _apply_loads(self, known: Known) -> None:
         """Take in the work of all hosts on endpoints, less what this one has told of its own."""
-        own = self.board.get(self._settings.host, "work")
-        mine = read_work(own.fact) if own is not None else {}
-        rest = without(read_work(known.fact), mine)
-        self._fleet.take_others({name: OthersLoad(*row, known.at) for name, row in rest.items()})
+        own = self.facts.get(self._settings.host, "work")
+        own_work = decode_work(own.fact) if own is not None else {}
+        rest = subtract_work(decode_work(known.fact), own_work)
+        self._fleet.set_remote_loads(
+            {name: RemoteLoad(*row, known.at) for name, row in rest.items()}
+        )
 
-    def tell_loads(self) -> None:
+    def publish_loads(self) -> None:
         """As the hub, tell all hosts the sum of what they have on endpoints."""
         if not self.is_hub():
             return
         now = self._ctx.clock.monotonic()
         total: Work = {}
         others: Work = {}
-        for origin, known in alive_facts(self.board, self.membership, "work"):
-            for name, row in read_work(known.fact).items():
+        for origin, known in live_facts(self.facts, self.membership, "work"):
+            for name, row in decode_work(known.fact).items():
                 add_load(total, name, row)
                 if origin != self._settings.host:
                     add_load(others, name, row)
-        self._fleet.take_others({name: OthersLoad(*row, now) for name, row in others.items()})
-        known = self.board.get(self._settings.host, "loads")
-        fact = write_work(total)
-        if known is None or known.fact != fact or now - known.at > LOADS_SECONDS:
-            self.board.publish("loads", fact)
-
-    def _take_orders(self) -> None:
-        rows = self.board.on("orders").items()
+        self._fleet.set_remote_loads({name: RemoteLoad(*row, now) for name, row in others.items()})
+        known = self.facts.get(self._settings.host, "loads")
+        fact = encode_work(total)
+        if known is None or known.fact != fact or now - known.at > LOADS_REPEAT_SECONDS:
+            self.facts.publish("loads", fact)
+
+    def _apply_orders(self) -> None:
+        rows = self.facts.on("orders").items()
         origin, known = max(rows, key=lambda row: max(row[1].fact.term, row[1].fact.resigned))
         newest = known.fact
-        if newest.term and origin != self._leader:
-            self._leader = origin
+        if newest.term and origin != self._lease_holder:
+            self._lease_holder = origin
             self.mesh.offer_again(origin)
-        self._fleet.take_news(newest.engines, known.at)
+        self._fleet.apply_updates(newest.engines, known.at)
         self.on_term(newest.term)
         if newest.resigned:
             self.on_resigned(newest.resigned, Handover(newest.wait, newest.engine_waits))
 
-    def has_leader(self) -> bool:
+    def has_lease_holder(self) -> bool:
         """Tell whether a live host that this one hears says that it orders engines."""
-        live, heard_of = self.membership.members(), self._heard_of()
-        for origin, known in self.board.on("orders").items():
+        live, linked = self.membership.members(), self._linked_hosts()
+        for origin, known in self.facts.on("orders").items():
             member = live.get(origin)
-            heard = member is not None and member.alive and origin in heard_of
-            if known.fact.term and (heard or origin == self._settings.host):
+            in_contact = member is not None and member.alive and origin in linked
+            if known.fact.term and (in_contact or origin == self._settings.host):
                 return True
         return False
 
-    def _heard_of(self) -> set[str]:
+    def _linked_hosts(self) -> set[str]:
         """Return the hosts that this one or a host that it is linked to has a link with.
 
         A lost link shows at once, a missing heartbeat after four seconds.
         """
         found = self.mesh.peers()
         for peer in list(found):
-            known = self.board.get(peer, "links")
+            known = self.facts.get(peer, "links")
             if known is not None:
                 found.update(known.fact.peers)
         return found
 
     # What this host tells
 
-    def tell_work(self) -> None:
+    def publish_work(self) -> None:
         """Tell what this host has on endpoints, when that has changed."""
         rows = {
-            key: (len(state.flights), state.ahead)
+            key: (len(state.in_flight), state.pending_tokens)
             for key, state in self._fleet.states.items()
-            if state.flights
+            if state.in_flight
         }
-        self._tell("work", write_work(rows))
+        self._publish_changed("work", encode_work(rows))
 
-    def tell_runs(self) -> None:
+    def publish_runs(self) -> None:
         """Tell how many requests of this host run on each endpoint for each model and adapter."""
         rows: dict[tuple[str, str], int] = {}
         for key, state in self._fleet.states.items():
-            for flight in state.flights.values():
-                if flight.item:
-                    rows[key, flight.item] = rows.get((key, flight.item), 0) + 1
-        self._tell("runs", write_runs(rows))
+            for request in state.in_flight.values():
+                if request.item:
+                    rows[key, request.item] = rows.get((key, request.item), 0) + 1
+        self._publish_changed("runs", encode_runs(rows))
 
     def running(self) -> dict[str, dict[str, int]]:
         """Return how many requests of all live hosts run on each endpoint, by item."""
         total: dict[str, dict[str, int]] = {}
-        for _, known in alive_facts(self.board, self.membership, "runs"):
+        for _, known in live_facts(self.facts, self.membership, "runs"):
             add_runs(total, known.fact)
         return total
 
-    def tell_wants(self) -> None:
+    def publish_wants(self) -> None:
         """Tell what requests on this host wait for."""
         now = self._ctx.clock.monotonic()
         down = [
             key
             for key, state in self._fleet.states.items()
-            if state.health.closed(now) or state.lacks_unheard(now)
+            if state.health.closed(now) or state.has_unconfirmed_missing(now)
         ]
-        self._tell("wants", WantsFact(dict(self.waiting), down, self.queued()))
+        self._publish_changed("wants", WantsFact(dict(self.waiting), down, self.queued()))
 
     def down(self) -> set[str]:
         """Return the endpoints that live hosts could not connect to, or found to lack something."""
-        rows = alive_facts(self.board, self.membership, "wants")
+        rows = live_facts(self.facts, self.membership, "wants")
         return {key for _, known in rows for key in known.fact.down}
 
-    def tell_demand(self) -> None:
+    def publish_demand(self) -> None:
         """Tell what callers ask of this host, when it has changed much."""
         now = self._ctx.clock.monotonic()
-        rates, recent = self.meter.rates(now), self.meter.recent(now)
-        known = self.board.get(self._settings.host, "demand")
-        if known is None or differs(known.fact.recent, recent):
-            self.board.publish("demand", DemandFact(rates, {}, [], recent))
+        rates, recent = self.demand_meter.rates(now), self.demand_meter.recent(now)
+        known = self.facts.get(self._settings.host, "demand")
+        if known is None or demand_changed(known.fact.recent, recent):
+            self.facts.publish("demand", DemandFact(rates, {}, [], recent))
 
-    def tell_orders(
-        self, term: int, news: list[EngineNews], loads: dict[str, tuple[float, ...]]
+    def publish_orders(
+        self, term: int, updates: list[EngineNews], loads: dict[str, tuple[float, ...]]
     ) -> None:
         """Tell what this host's orders changed, and which loads it has begun.
 
         The time until a load is done is told once: it runs on as the fact grows older, so a look
         that finds nothing else new has nothing to tell.
         """
-        told = term, tuple(describe_news(row) for row in news), loads
+        key = term, tuple(update_key(row) for row in updates), loads
         now = self._ctx.clock.monotonic()
-        fresh = not news or now - self._told_orders_at < NEWS_AGAIN_SECONDS
-        if told == self._told_orders and fresh:
+        fresh = not updates or now - self._published_orders_at < UPDATE_REPEAT_SECONDS
+        if key == self._published_orders and fresh:
             return
-        self._told_orders, self._told_orders_at = told, now
+        self._published_orders, self._published_orders_at = key, now
         ages = {name: [round(now - at, 2) for at in begun] for name, begun in loads.items()}
-        self.board.publish("orders", OrdersFact(term, news, loads=ages))
+        self.facts.publish("orders", OrdersFact(term, updates, loads=ages))
 
-    def heard_loads(self, term: int) -> dict[str, list[float]] | None:
+    def holder_loads(self, term: int) -> dict[str, list[float]] | None:
         """Return how old the loads are that the holder of a term told of, None if it told none."""
         now = self._ctx.clock.monotonic()
-        for known in self.board.on("orders").values():
+        for known in self.facts.on("orders").values():
             if term in (known.fact.term, known.fact.resigned):
                 past = now - known.at
                 return {
@@ -353,53 +357,55 @@
                 }
         return None
 
-    def tell_lease(self, term: int, version: int) -> None:
+    def publish_lease(self, term: int, version: int) -> None:
         """Tell that this host has just renewed the lease."""
-        self.board.publish("lease", LeaseFact(term, version))
+        self.facts.publish("lease", LeaseFact(term, version))
 
-    def tell_resigned(self, term: int, handover: Handover) -> None:
+    def publish_resignation(self, term: int, handover: Handover) -> None:
         """Tell that this host gives no more orders under ``term``, and how long to wait for it."""
-        known = self.board.get(self._settings.host, "orders")
+        known = self.facts.get(self._settings.host, "orders")
         if known is None or known.fact.resigned != term:
-            self._told_orders = None
+            self._published_orders = None
             past = self._ctx.clock.monotonic() - known.at if known is not None else 0.0
-            news = [age_news(row, past) for row in known.fact.engines] if known is not None else []
-            loads = self.heard_loads(term) or {}
+            updates = (
+                [age_update(row, past) for row in known.fact.engines] if known is not None else []
+            )
+            loads = self.holder_loads(term) or {}
             waits = dict(handover.engines)
-            self.board.publish("orders", OrdersFact(0, news, term, handover.wait, waits, loads))
+            self.facts.publish("orders", OrdersFact(0, updates, term, handover.wait, waits, loads))
 
-    def _tell(self, topic: str, fact) -> None:
-        known = self.board.get(self._settings.host, topic)
+    def _publish_changed(self, topic: str, fact) -> None:
+        known = self.facts.get(self._settings.host, topic)
         if known is None or known.fact != fact:
-            self.board.publish(topic, fact)
+            self.facts.publish(topic, fact)
 
     def demand(self) -> dict[str, Demand]:
         """Return what is asked of each item over all live hosts."""
         wants, demands = (
-            [known.fact for _, known in alive_facts(self.board, self.membership, topic)]
+            [known.fact for _, known in live_facts(self.facts, self.membership, topic)]
             for topic in ("wants", "demand")
         )
         return sum_demand(wants, demands)
 
 
-def age_news(news: EngineNews, past: float) -> EngineNews:
+def age_update(update: EngineNews, past: float) -> EngineNews:
     """Return what was said of an engine as it holds some seconds later."""
-    coming = {model: max(0.0, seconds - past) for model, seconds in news.coming.items()}
-    return replace(news, coming=coming)
+    coming = {model: max(0.0, seconds - past) for model, seconds in update.coming.items()}
+    return replace(update, coming=coming)
 
 
-def lead_weight(name: str, members: Mapping[str, Member]) -> tuple[int, int]:
+def hub_weight(name: str, members: Mapping[str, Member]) -> tuple[int, int]:
     """Return what hosts are ordered by when one is to lead or to pass facts on."""
     member = members.get(name)
-    return member.fact.power if member else 0, hash_leader(name)
+    return member.fact.power if member else 0, hash_host(name)
 
 
-@lru_cache(maxsize=MOST_HASHES)
-def hash_leader(name: str) -> int:
+@lru_cache(maxsize=MAX_CACHED_HASHES)
+def hash_host(name: str) -> int:
     """Return a host's weight in the order; the same ones are looked at a dozen times a second."""
     return weigh("leader", name)
 
 
-def describe_news(row: EngineNews) -> tuple:
+def update_key(row: EngineNews) -> tuple:
     """Return all of an engine's news but the times, which change with each look."""
     return row.endpoint, tuple(row.items), tuple(row.dropping), tuple(sorted(row.coming))
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -48,12 +48,12 @@
         There is none for an endpoint that wants a rest from this host.
         """
         now = self._ctx.clock.monotonic()
-        if state.rests_until > now:
-            return Permit(False, state.rests_until - now)
+        if state.backoff_until > now:
+            return Permit(False, state.backoff_until - now)
         if not state.limited:
             return NO_WAIT
-        if state.permit_from > now + min(stays, PROMISE_SECONDS):
-            return Permit(False, state.permit_from - now)
+        if state.next_permit_at > now + min(stays, PROMISE_SECONDS):
+            return Permit(False, state.next_permit_at - now)
         hub = self._peers.hub()
         permit = (
             self.take_here(state, stays)
@@ -61,7 +61,7 @@
             else await self._ask_hub(hub, state, stays, caller)
         )
         if not permit.given:
-            state.permit_from = self._ctx.clock.monotonic() + max(LEAST_WAIT, permit.wait)
+            state.next_permit_at = self._ctx.clock.monotonic() + max(LEAST_WAIT, permit.wait)
         return permit
 
     async def ask_for(self, key: str) -> Permit:
@@ -123,4 +123,4 @@
 
     def _part(self, state: EndpointState) -> float:
         """Return the part of a limit that this hub may give."""
-        return state.limit.rate * self._peers.part()
+        return state.limit.rate * self._peers.hub_share()
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -108,7 +108,7 @@
     def _hear_hub(self) -> str:
         """Take in the hub's last word, and return which host it is."""
         hub = self._peers.hub()
-        word = self._peers.board.get(hub, "quotas")
+        word = self._peers.facts.get(hub, "quotas")
         self._own.hear(word.fact.low if word is not None else None)
         return hub
 
@@ -156,7 +156,7 @@
         self._hear_hub()
         usage = self._own.usage(self._quotas)
         if usage is not None:
-            self._peers.board.publish("usage", UsageFact(usage.totals, usage.since))
+            self._peers.facts.publish("usage", UsageFact(usage.totals, usage.since))
         if not self._peers.is_hub():
             self._hub = None
             return
@@ -165,7 +165,7 @@
             self._share(),
             self._ctx.clock.monotonic(),
         )
-        for origin, known in self._peers.board.on("usage").items():
+        for origin, known in self._peers.facts.on("usage").items():
             row = Usage(known.fact.totals, known.fact.since)
             age = now - known.at
             hub.note_usage(origin, known.entry.epoch, row, self._quotas, share, now, age)
@@ -174,7 +174,7 @@
     def _as_hub(self) -> HubQuotas:
         """Return the buckets of all hosts, as this host keeps them while it is the hub."""
         if self._hub is None:
-            words = self._peers.board.on("quotas").values()
+            words = self._peers.facts.on("quotas").values()
             last = max(words, key=lambda known: known.at, default=None)
             self._hub = HubQuotas(self._tolerance)
             low = last.fact.low if last is not None else None
@@ -185,17 +185,17 @@
                 self._ctx.clock.monotonic(),
             )
             self._ctx.timeline.add("quotas_kept", detail=f"{len(self._quotas)} workspaces")
-            self._peers.board.publish("quotas", QuotasFact(low or {}))
+            self._peers.facts.publish("quotas", QuotasFact(low or {}))
         return self._hub
 
     def _tell_low(self, low: Mapping[str, int]) -> None:
-        known = self._peers.board.get(self._host, "quotas")
+        known = self._peers.facts.get(self._host, "quotas")
         now = self._ctx.clock.monotonic()
         if known is None or known.fact.low != low or now - known.at >= LOW_SECONDS:
-            self._peers.board.publish("quotas", QuotasFact(dict(low)))
+            self._peers.facts.publish("quotas", QuotasFact(dict(low)))
         before = known.fact.low if known is not None else {}
         for name in low.keys() - before.keys():
             self._ctx.timeline.add("quota_low", detail=f"workspace {name}: {low[name]} units left")
 
     def _share(self) -> float:
-        return self._peers.part(self._tolerance.over)
+        return self._peers.hub_share(self._tolerance.over)
--- a/peridotdock/relay/reach.py
+++ b/peridotdock/relay/reachability.py
@@ -11,7 +11,7 @@
 from peridotdock.clock import Clock
 
 
-class Reach:
+class Reachability:
     """The hosts that this one reaches, over as many links as it takes.
 
     A link counts when both ends tell of it: one that is gone for good tells of its links no more,
@@ -25,16 +25,16 @@
         clock: Clock,
         host: str,
         peers: Callable[[], set[str]],
-        heard_at: Callable[[str], float],
+        last_received: Callable[[str], float],
     ):
         self._board = board
         self._clock = clock
         self._host = host
         self._peers = peers
-        self._heard_at = heard_at
+        self._last_received = last_received
         self._direct: frozenset[str] = frozenset()
         self._found: frozenset[str] = frozenset()
-        self._parted: dict[str, float] = {}
+        self._unreachable_since: dict[str, float] = {}
         self._changed_at: float | None = clock.monotonic()
         board.listen(self._changed)
 
@@ -45,19 +45,19 @@
     def hosts(self) -> frozenset[str]:
         """Return the hosts that are reached, without this one."""
         if self._changed_at is not None:
-            self._look(self._changed_at)
+            self._refresh(self._changed_at)
             self._changed_at = None
         return self._found
 
     def parted(self, host: str) -> float:
         """Return when a host that is not reached now last was (monotonic seconds)."""
-        return self._parted.get(host, float("-inf"))
+        return self._unreachable_since.get(host, float("-inf"))
 
     def forget(self, host: str) -> None:
         """Forget when a host was last reached."""
-        self._parted.pop(host, None)
+        self._unreachable_since.pop(host, None)
 
-    def _look(self, changed_at: float) -> None:
+    def _refresh(self, changed_at: float) -> None:
         """Search anew, and note which hosts are not reached any more.
 
         Failure guarded against: a machine loses its power, its link is found silent after two
@@ -67,22 +67,22 @@
         before, self._found = self._found, self._search()
         direct, self._direct = self._direct, frozenset(self._peers())
         for host in before - self._found:
-            heard_at = self._heard_at(host) if host in direct else changed_at
-            self._parted[host] = min(changed_at, heard_at)
+            heard_at = self._last_received(host) if host in direct else changed_at
+            self._unreachable_since[host] = min(changed_at, heard_at)
         for host in self._found - before:
-            self._parted.pop(host, None)
+            self._unreachable_since.pop(host, None)
 
     def _search(self) -> frozenset[str]:
         found = {self._host, *self._peers()}
         ends = list(found - {self._host})
         while ends:
             host = ends.pop()
-            for peer in self._told_links(host):
-                if peer not in found and host in self._told_links(peer):
+            for peer in self._published_links(host):
+                if peer not in found and host in self._published_links(peer):
                     found.add(peer)
                     ends.append(peer)
         return frozenset(found - {self._host})
 
-    def _told_links(self, host: str) -> Collection[str]:
+    def _published_links(self, host: str) -> Collection[str]:
         known = self._board.get(host, "links")
         return known.fact.peers if known is not None else ()
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -14,20 +14,20 @@
 
 # Seconds beyond its usual time after which a load that does not show is looked for in a report, and
 # after an unload: reports are 0.2 s old, and entries come a second later.
-LOAD_SLACK = 0.25
-UNLOAD_SLACK = 0.25
+LOAD_SLACK_SECONDS = 0.25
+UNLOAD_SLACK_SECONDS = 0.25
 # Seconds after an order for which the other hosts go by the word of the one that gave it: an
 # engine's heartbeat comes every second or so, and the store's feed is read with pauses.
-NEWS_SECONDS = 3.0
+UPDATE_SECONDS = 3.0
 # Seconds for which a model that was loaded is not unloaded to make room for a further copy.
 SETTLING_SECONDS = 10.0
 # Seconds over which the tokens that wait at an engine are averaged.
 PRESSURE_SECONDS = 2.0
 # Seconds after an order for which a report may be older than the order.
-REPORT_LAG = 0.8
+REPORT_LAG_SECONDS = 0.8
 
 
-NOTHING_RUNS: Mapping[str, int] = MappingProxyType({})
+NO_REQUESTS: Mapping[str, int] = MappingProxyType({})
 
 
 @dataclass
@@ -45,37 +45,37 @@
     """
 
     entry: EndpointEntry
-    born: int = 0
+    started_ms: int = 0
     seq: int = 0
     models: dict[str, set[str]] = field(default_factory=dict)
     loading: dict[str, float] = field(default_factory=dict)
     dropping: dict[str, float] = field(default_factory=dict)
     freeing: set[str] = field(default_factory=set)
-    unsure: bool = True
-    unknown: bool = True
-    down: bool = False
+    needs_report: bool = True
+    unreported: bool = True
+    unreachable: bool = False
     loaded_at: dict[str, float] = field(default_factory=dict)
     pressure: MovingAverage = field(default_factory=lambda: MovingAverage(PRESSURE_SECONDS))
     ordered_at: float = float("-inf")
     in_flight: bool = False
-    quiet_until: float = 0.0
+    paused_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.born = self.born or self.entry.born
+        self.started_ms = self.started_ms or self.entry.born
 
-    def recall(self, news: EngineNews, at: float, now: float) -> None:
+    def restore(self, update: EngineNews, at: float, now: float) -> None:
         """Take in what the holder before said of its orders, at a time, as far as it may go on.
 
         Failure guarded against: a new holder doesn't know of a load that is under way, as it shows
         in no report, and loads the model on another engine too.
         """
-        if news.born != self.born:
+        if update.born != self.started_ms:
             return
-        done = {model: at + seconds for model, seconds in news.coming.items()}
+        done = {model: at + seconds for model, seconds in update.coming.items()}
         self.loading |= {model: when for model, when in done.items() if when > now}
-        self.dropping |= dict.fromkeys(news.dropping, at)
+        self.dropping |= dict.fromkeys(update.dropping, at)
 
-    def take_entry(self, entry: EndpointEntry) -> None:
+    def update_entry(self, entry: EndpointEntry) -> None:
         """Take in the engine's entry: where it tells something else, a report is needed.
 
         Failure guarded against: the store was away, so the entry is older than an order carried
@@ -85,7 +85,7 @@
         if entry is self.entry:
             return
         self.entry = entry
-        if entry.born != self.born:
+        if entry.born != self.started_ms:
             return
         for name in [name for name in self.loading if name in entry.models]:
             del self.loading[name]
@@ -93,24 +93,24 @@
         for name in [name for name in self.dropping if name not in entry.models]:
             del self.dropping[name]
             self.models.pop(name, None)
-        told = {name: set(model.adapters) for name, model in entry.models.items()}
-        if told != self.models:
-            self.unsure = True
+        listed = {name: set(model.adapters) for name, model in entry.models.items()}
+        if listed != self.models:
+            self.needs_report = True
 
-    def take_report(self, report: EngineState, now: float) -> None:
+    def apply_report(self, report: EngineState, now: float) -> None:
         """Take in a report; one that shows no work under way ends what was thought to be.
 
         Soon after an order, a report with fewer orders than were accepted is older than that. Later
         the report is right: an engine that says it carries an order out may not count it again.
         A report of another start tells nothing of this one.
         """
-        if report.born != self.born and report.born and self.born:
+        if report.born != self.started_ms and report.born and self.started_ms:
             return
-        if report.seq < self.seq and now - self.ordered_at < REPORT_LAG:
+        if report.seq < self.seq and now - self.ordered_at < REPORT_LAG_SECONDS:
             return
-        self.unknown = False
+        self.unreported = False
         # Busy with an order of another host: what that loads shows only when it is done.
-        self.unsure = report.busy and not (self.loading or self.dropping)
+        self.needs_report = report.busy and not (self.loading or self.dropping)
         self.seq = report.seq
         self.models = {name: set(m.adapters) for name, m in report.models.items()}
         there = {f"{name}/{adapter}" for name, m in self.models.items() for adapter in m}
@@ -123,13 +123,13 @@
         self.loading = {name: at for name, at in self.loading.items() if at > now}
         self.dropping.clear()
 
-    def accepted(self, order: EngineOrder, ready_at: float, now: float) -> None:
+    def order_accepted(self, order: EngineOrder, ready_at: float, now: float) -> None:
         """Take in that the engine accepted an order; a load is done at ``ready_at``."""
         self.seq = order.expected + 1
         self.ordered_at = now
-        self.held(order, ready_at, now)
+        self.apply_order(order, ready_at, now)
 
-    def held(self, order: EngineOrder, ready_at: float, now: float) -> None:
+    def apply_order(self, order: EngineOrder, ready_at: float, now: float) -> None:
         """Take in what an order changes."""
         if order.adapter:
             adapters = self.models.setdefault(order.model, set())
@@ -141,21 +141,21 @@
         else:
             self.dropping[order.model] = now
 
-    def overdue(self, now: float) -> bool:
+    def report_due(self, now: float) -> bool:
         """Tell whether a report is needed to know where the engine stands."""
-        late = any(at + LOAD_SLACK < now for at in self.loading.values())
-        late = late or any(at + UNLOAD_SLACK < now for at in self.dropping.values())
+        late = any(at + LOAD_SLACK_SECONDS < now for at in self.loading.values())
+        late = late or any(at + UNLOAD_SLACK_SECONDS < now for at in self.dropping.values())
         return (
-            (self.unsure or late or bool(self.freeing))
-            and now >= self.quiet_until
+            (self.needs_report or late or bool(self.freeing))
+            and now >= self.paused_until
             and not self.in_flight
         )
 
     def view(
         self,
         now: float,
-        late: frozenset[str] = frozenset(),
-        running: Mapping[str, int] = NOTHING_RUNS,
+        unanswered: frozenset[str] = frozenset(),
+        running: Mapping[str, int] = NO_REQUESTS,
     ) -> EngineView:
         """Return the engine as plans see it.
 
@@ -171,30 +171,30 @@
             dropping=frozenset(self.dropping),
             in_memory=self.entry.in_memory,
             on_disk=self.entry.on_disk,
-            busy=bool(self.loading or self.unsure) or now < self.quiet_until,
+            busy=bool(self.loading or self.needs_report) or now < self.paused_until,
             ahead=self.pressure.value,
             freeing=bool(self.freeing),
-            late=late,
+            late=unanswered,
             running=running,
             settling=frozenset(
                 name for name, at in self.loaded_at.items() if now - at < SETTLING_SECONDS
             ),
         )
 
-    def has_news(self, now: float) -> bool:
+    def has_update(self, now: float) -> bool:
         """Tell whether the engine's entry does not show all that its orders changed.
 
         News goes to all hosts with each order; of what an engine's entry shows they need none, and
         until its first report nothing is known of what it holds.
         """
-        if self.unknown:
+        if self.unreported:
             return False
-        if self.loading or self.dropping or self.freeing or self.entry.born != self.born:
+        if self.loading or self.dropping or self.freeing or self.entry.born != self.started_ms:
             return True
-        told = {name: set(model.adapters) for name, model in self.entry.models.items()}
-        return told != self.models and now - self.ordered_at <= NEWS_SECONDS
+        listed = {name: set(model.adapters) for name, model in self.entry.models.items()}
+        return listed != self.models and now - self.ordered_at <= UPDATE_SECONDS
 
-    def news(self, now: float) -> EngineNews:
+    def make_update(self, now: float) -> EngineNews:
         """Return what other hosts should know before the engine's entry shows it."""
         items = [name for name in self.models if name not in self.loading]
         items += [f"{name}/{a}" for name, adapters in self.models.items() for a in adapters]
@@ -203,7 +203,7 @@
             items=[item for item in items if item not in self.freeing],
             dropping=sorted(self.dropping),
             coming={name: round(max(0.0, at - now), 2) for name, at in self.loading.items()},
-            born=self.born,
+            born=self.started_ms,
         )
 
 
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -110,7 +110,7 @@
             ask.body,
             once=True,
             connect=connect_seconds(left),
-            wanted=state.takes_work,
+            wanted=state.accepts_requests,
         )
         sent = self._clock.monotonic()
         work = self._endpoints.open(f"http://{state.entry.address}", call)
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -119,7 +119,7 @@
 
     def note_gap(self, state: EndpointState, service: str, seconds: float, events: int) -> None:
         """Learn from the time until some events of a stream came, since those before."""
-        self.fleet.note_event(service, seconds / events)
+        self.fleet.record_event_gap(service, seconds / events)
         self.on_gap(service, state.key, seconds)
 
     def may_repeat(
@@ -166,9 +166,11 @@
         self.ctx.metrics.sends.labels(str(progress.sends)).inc()
         self._note_send(ask, progress, place)
         wish = ask.head.wish
-        tokens = unread(place.candidate, self.fleet.work(progress.service, wish)) if wish else 0
+        tokens = (
+            unread(place.candidate, self.fleet.estimate_work(progress.service, wish)) if wish else 0
+        )
         alone = place.candidate.ahead == 0 if place.granted else None
-        self.fleet.began(state, ask.id, wish, tokens, alone)
+        self.fleet.request_sent(state, ask.id, wish, tokens, alone)
         began = self.ctx.clock.monotonic()
         streaming = False
         try:
@@ -188,7 +190,7 @@
             return found
         finally:
             if not streaming:
-                self.fleet.ended(state, ask.id, progress.service, whole=False)
+                self.fleet.request_ended(state, ask.id, progress.service, complete=False)
 
     def _note_send(self, ask: RelayAsk, progress: Progress, place: Prediction) -> None:
         """Log which endpoint was chosen, and what was known of it."""
@@ -242,7 +244,7 @@
                 await source.close(caller)
                 return fault
             source.began = self.ctx.clock.monotonic()
-            self.fleet.answered(sent.state, ask.id, ask.head.wish)
+            self.fleet.first_token_received(sent.state, ask.id, ask.head.wish)
             self._note_first(ask, sent.state, ask.began)
             return source
         try:
@@ -251,7 +253,7 @@
             await sent.opened.release()
         if failed(body):
             return body
-        self.fleet.ended(sent.state, ask.id, service, whole=True)
+        self.fleet.request_ended(sent.state, ask.id, service, complete=True)
         if sent.head.status in SUCCESS:
             self.blocklist.note_answer(ask)
         return Whole(sent.state, sent.head, body)
@@ -305,7 +307,7 @@
         if found.kind is Kind.ENDPOINT_REFUSED:
             state.health.erred(now)
         elif found.kind is Kind.ENDPOINT_LACKS and ask.head.wish is not None:
-            state.note_lack(ask.head.wish, now)
+            state.record_missing(ask.head.wish, now)
         elif found.kind is Kind.ENDPOINT_LACKS:
             # A plain service lacks nothing: its address has been taken by another.
             state.health.unreachable(now)
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -89,7 +89,7 @@
                     yield raw
         finally:
             whole = outcome is None and source.ended and not source.ready
-            service.fleet.ended(source.state, ask.id, progress.service, whole)
+            service.fleet.request_ended(source.state, ask.id, progress.service, whole)
             await source.close(caller)
         if outcome is None:
             pauses.tell(source.state)
--- a/peridotdock/relay/late.py
+++ b/peridotdock/relay/unanswered_orders.py
@@ -6,19 +6,19 @@
 from peridotdock.clients.engines import Action, EngineOrder
 
 # Seconds after an order was sent in which it may be carried out: the platform's longest delay.
-LATE_SECONDS = 12.0
+MAX_ORDER_DELAY_SECONDS = 12.0
 
 
 @dataclass(frozen=True, slots=True)
-class LateOrder:
+class UnansweredOrder:
     """An order to one start of an engine, and until when it may arrive."""
 
-    born: int
+    started_ms: int
     order: EngineOrder
-    until: float
+    arrives_until: float
 
 
-class LateOrders:
+class UnansweredOrders:
     """Orders that are out, or whose answer was lost, by the engine's id.
 
     Failure guarded against: a load gets no answer, the engine starts again under its id, and its
@@ -29,17 +29,20 @@
     """
 
     def __init__(self) -> None:
-        self._rows: dict[str, list[LateOrder]] = {}
+        self._rows: dict[str, list[UnansweredOrder]] = {}
 
     def __len__(self) -> int:
         return sum(len(rows) for rows in self._rows.values())
 
-    def sent(self, engine: str, born: int, order: EngineOrder, now: float) -> None:
+    def add(self, engine: str, started_ms: int, order: EngineOrder, now: float) -> None:
         """Note an order that is sent now."""
-        rows = [row for row in self._rows.get(engine, ()) if row.until >= now]
-        self._rows[engine] = [*rows, LateOrder(born, order, now + LATE_SECONDS)]
+        rows = [row for row in self._rows.get(engine, ()) if row.arrives_until >= now]
+        self._rows[engine] = [
+            *rows,
+            UnansweredOrder(started_ms, order, now + MAX_ORDER_DELAY_SECONDS),
+        ]
 
-    def answered(self, engine: str, order: EngineOrder) -> None:
+    def discard(self, engine: str, order: EngineOrder) -> None:
         """Forget an order that was answered, or never left."""
         rows = [row for row in self._rows.get(engine, ()) if row.order is not order]
         if rows:
@@ -47,16 +50,16 @@
         else:
             self._rows.pop(engine, None)
 
-    def items(self, engine: str, born: int, seq: int, now: float) -> frozenset[str]:
+    def possible_items(self, engine: str, started_ms: int, seq: int, now: float) -> frozenset[str]:
         """Return what a start may load yet: models, and adapters as MODEL/NAME.
 
         ``seq`` is the number of orders that it has accepted: an order that expects fewer is void.
         """
-        return frozenset(self._loads(engine, born, seq, now))
+        return frozenset(self._loaded_items(engine, started_ms, seq, now))
 
-    def _loads(self, engine: str, born: int, seq: int, now: float) -> Iterator[str]:
+    def _loaded_items(self, engine: str, started_ms: int, seq: int, now: float) -> Iterator[str]:
         for row in self._rows.get(engine, ()):
             order = row.order
-            other_start = row.born != born and row.until >= now
+            other_start = row.started_ms != started_ms and row.arrives_until >= now
             if other_start and order.action is Action.LOAD and order.expected >= seq:
                 yield f"{order.model}/{order.adapter}" if order.adapter else order.model
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -7,17 +7,17 @@
 from peridotdock.context import Context
 from peridotdock.decisions.freshness import share_out
 from peridotdock.frames import deflate_rows
-from peridotdock.relay.following import NEVER, Follower, Take
+from peridotdock.relay.following import NEVER, Follower, ApplyRows
 from peridotdock.relay.peers import Peers
 from peridotdock.schema.messages import Rows, RowsWanted
 
 # Seconds between two words of the host that reads for all on a table that has not changed: a third
 # of the shortest time for which it may be silent.
-WORD_SECONDS = 0.3
+UNCHANGED_INTERVAL_SECONDS = 0.3
 HideKeys = Callable[[str, dict[str, bytes | None]], dict[str, bytes | None]]
 # Bytes of a change, deflated, up to which it goes to all hosts over links, in place of a call of
 # the store by each of them: a larger one would fill the link of the host that passes it on.
-MOST_TOLD_BYTES = 64 * 1024
+MAX_PUBLISHED_BYTES = 64 * 1024
 
 
 def count_bytes(frame: Rows) -> int:
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Followed:
+class FollowedTable:
     """One followed table. ``bound`` is how soon a change must be seen, in seconds.
 
     ``most_told`` are the most bytes of a change, deflated, that are told; of a larger one others
@@ -36,53 +36,55 @@
 
     follower: Follower
     bound: float
-    most_told: int
+    max_published_bytes: int
     beat: int = 0
-    told_at: float = NEVER
+    published_at: float = NEVER
 
 
 class Views:
     """All tables that this host follows."""
 
-    def __init__(self, ctx: Context, tables: Tables, peers: Peers, leads: Callable[[], bool]):
+    def __init__(
+        self, ctx: Context, tables: Tables, peers: Peers, is_lease_holder: Callable[[], bool]
+    ):
         self._ctx = ctx
         self._tables = tables
         self._peers = peers
-        self._leads = leads
-        self._followed: dict[str, Followed] = {}
+        self._is_lease_holder = is_lease_holder
+        self._followed: dict[str, FollowedTable] = {}
         self.hide_keys: HideKeys = lambda table, rows: rows
-        peers.mesh.on_rows = self._hear
-        peers.mesh.on_wanted = self._give
+        peers.mesh.on_rows = self._receive
+        peers.mesh.on_wanted = self._answer_rows_wanted
 
     def follow(
         self,
         table: str,
-        take: Take,
+        apply_rows: ApplyRows,
         bound: float,
-        most_told: int = MOST_TOLD_BYTES,
+        max_published_bytes: int = MAX_PUBLISHED_BYTES,
         pause: float | None = None,
     ) -> Follower:
         """Return the follower of a table, to be run; ``pause`` goes before the bound's share."""
         limits = share_out(bound)
         rest = limits.pause if pause is None else pause
-        follower = Follower(self._ctx, self._tables, table, take, lambda: rest, limits)
-        follower.reads = self._reads
-        follower.tell = lambda found, after: self._tell(table, found, after)
-        follower.ask_hosts = lambda after: self._peers.mesh.want_rows(table, after)
-        follower.on_lost = lambda: self._say_unchanged(table)
-        self._followed[table] = Followed(follower, bound, most_told)
+        follower = Follower(self._ctx, self._tables, table, apply_rows, lambda: rest, limits)
+        follower.must_read = self._must_read
+        follower.publish = lambda found, after: self._publish(table, found, after)
+        follower.request_rows = lambda after: self._peers.mesh.want_rows(table, after)
+        follower.on_call_lost = lambda: self._send_unchanged(table)
+        self._followed[table] = FollowedTable(follower, bound, max_published_bytes)
         return follower
 
-    def _reads(self) -> bool:
+    def _must_read(self) -> bool:
         """Tell whether this host must read the store itself: it orders, or nobody else reads."""
-        return self._leads() or not self._peers.has_leader()
+        return self._is_lease_holder() or not self._peers.has_lease_holder()
 
-    def _tell(self, table: str, found: TableChanges | TableView, after: int) -> None:
+    def _publish(self, table: str, found: TableChanges | TableView, after: int) -> None:
         """As the host that reads for all, tell the others what the store has given."""
         whole = isinstance(found, TableView)
-        self._say(table, after, found.version, found.values, whole)
+        self._send_rows(table, after, found.version, found.values, whole)
 
-    def _say(
+    def _send_rows(
         self,
         table: str,
         after: int,
@@ -90,19 +92,19 @@
         values: Mapping[str, bytes | None],
         whole: bool = False,
     ) -> None:
-        if not self._leads():
+        if not self._is_lease_holder():
             return
         row = self._followed[table]
         row.beat += 1
-        row.told_at = self._ctx.clock.monotonic()
+        row.published_at = self._ctx.clock.monotonic()
         frame = self._frame(row, after, version, values)
-        frame = replace(frame, whole=whole, lost=row.follower.lost())
-        if count_bytes(frame) > row.most_told:
+        frame = replace(frame, whole=whole, lost=row.follower.last_call_failed())
+        if count_bytes(frame) > row.max_published_bytes:
             frame = replace(frame, values={}, deflated=[], whole=False, changed=True)
         self._peers.mesh.send_rows(frame)
 
     def _frame(
-        self, row: Followed, after: int, version: int, values: Mapping[str, bytes | None]
+        self, row: FollowedTable, after: int, version: int, values: Mapping[str, bytes | None]
     ) -> Rows:
         age = round(row.follower.age() * 1000)
         origin = self._ctx.incarnation
@@ -110,7 +112,7 @@
         hidden = self.hide_keys(table, dict(values))
         return deflate_rows(Rows("rows", table, origin, row.beat, after, version, hidden, age=age))
 
-    def keep_telling(self) -> None:
+    def publish_unchanged(self) -> None:
         """Tell that nothing has changed, and how long ago that was known.
 
         The age is that of answers on the very table. Failure guarded against: the call on a table
@@ -119,19 +121,19 @@
         """
         now = self._ctx.clock.monotonic()
         for table, row in self._followed.items():
-            if now - row.told_at >= WORD_SECONDS:
-                self._say_unchanged(table)
+            if now - row.published_at >= UNCHANGED_INTERVAL_SECONDS:
+                self._send_unchanged(table)
 
-    def _say_unchanged(self, table: str) -> None:
+    def _send_unchanged(self, table: str) -> None:
         known = self._followed[table].follower.version
         if known is not None:
-            self._say(table, known, known, {})
+            self._send_rows(table, known, known, {})
 
-    def _hear(self, frame: Rows) -> bool:
+    def _receive(self, frame: Rows) -> bool:
         row = self._followed.get(frame.table)
-        return row is not None and row.follower.feed(frame)
+        return row is not None and row.follower.receive(frame)
 
-    def _give(self, wanted: RowsWanted) -> Rows | None:
+    def _answer_rows_wanted(self, wanted: RowsWanted) -> Rows | None:
         """Return a whole table for a host that the store does not give it, where ours is newer."""
         row = self._followed.get(wanted.table)
         version = row.follower.version if row is not None else None
@@ -140,16 +142,16 @@
         frame = self._frame(row, wanted.after, version, row.follower.rows)
         return replace(frame, whole=True, direct=True)
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         """Ask the store anew for all tables: it was away, maybe, and has lost calls."""
         for row in self._followed.values():
-            row.follower.renew()
+            row.follower.refresh()
 
     def age(self, table: str) -> float:
         """Return the seconds since a table was last known to be as the store's."""
         return self._followed[table].follower.age()
 
-    def note_ages(self) -> None:
+    def record_ages(self) -> None:
         """Log and count how old the views are."""
         for row in self._followed.values():
-            row.follower.note_age(row.bound)
+            row.follower.record_age(row.bound)
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -63,7 +63,7 @@
         None tells that it is time to look again.
         """
         row = min(rows, key=lambda row: row.opens_in)
-        seconds = predict(row, self._fleet.work(progress.service, ask.head.wish))
+        seconds = predict(row, self._fleet.estimate_work(progress.service, ask.head.wish))
         stays = max(0.0, ask.first_by - self._ctx.clock.monotonic() - seconds)
         if row.rest and self.is_leaving():
             # Other hosts may send there; this one may be gone before an answer is whole.
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -233,5 +233,5 @@
     def may_order(self, engine=""):
         return True
 
-    def ordered(self, engine):
+    def record_order(self, engine):
         pass
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -10,7 +10,7 @@
 from extras.soak.ports import free_port
 from peridotdock.context import build_context
 from peridotdock.platform.adapter import PlatformAdapter
-from peridotdock.relay.node import Node
+from peridotdock.relay.host import RelayHost
 from peridotdock.relay.settings import Address, Bounds, HostSettings, Listen, parse_address
 from peridotdock.schema.settings import Settings
 from tests.standins.runner import RunnerStandin
@@ -151,7 +151,7 @@
             peer_port=listen.peers.port,
         )
         rng = random.Random(len(self.hosts) + 1)
-        node = Node(build_context(cfg, rng=rng), settings, PlatformAdapter())
+        node = RelayHost(build_context(cfg, rng=rng), settings, PlatformAdapter())
         await node.start()
         self.hosts.append(node)
         return node
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -121,13 +121,13 @@
         """A caller waits for two seconds and leaves; the host knew that it would."""
         async with Deployment() as found:
             state = found.hosts[0].fleet.states["e1"]
-            state.ahead = 10**6
+            state.pending_tokens = 10**6
             for number in range(8):
-                state.flights[f"f{number}"] = None
+                state.in_flight[f"f{number}"] = None
             status, headers, _ = await found.ask("/recap/", model="m0")
             self.assertEqual(503, status)
             self.assertGreater(float(headers["retry-after"]), 1.0)
             self.assertEqual([], found.engines["e1"].seen)
-            state.flights.clear()
-            state.ahead = 0
+            state.in_flight.clear()
+            state.pending_tokens = 0
             self.assertEqual(200, (await found.ask("/recap/", "a2", "m0"))[0])
--- a/tests/relay/test_entries.py
+++ b/tests/relay/test_entries.py
@@ -114,7 +114,7 @@
     return [event for event in host.ctx.timeline.select(Filter()) if event.name == name]
 
 
-class TakenTest(unittest.TestCase):
+class AppliedEntriesTest(unittest.TestCase):
     @params(
         ("bytes", b"\xff{"),
         ("another state", "resting"),
--- a/tests/relay/test_hubs.py
+++ b/tests/relay/test_hubs.py
@@ -45,7 +45,7 @@
                 self.assertEqual(sorted({*peers}), sorted(peers))
 
     @run
-    async def test_the_hub_hears_of_work_from_hosts_that_it_dialled(self):
+    async def test_the_hub_receives_work_from_hosts_that_it_dialled(self):
         """Engines look idle that one host keeps busy, and what it waits for is never loaded.
 
         The hub found a host as its seed and dialled it, so that host dials no hub, and what it has
@@ -55,10 +55,10 @@
             await found.until(lambda: all_live(found) and len(hubs(found)) == 1)
             [hub] = hubs(found)
             names = {host.settings.host for host in found.hosts}
-            await found.until(lambda: names == {*hub.peers.board.on("work")})
+            await found.until(lambda: names == {*hub.peers.facts.on("work")})
 
     @run
-    async def test_stale_seeds_are_passed_over(self):
+    async def test_stale_seeds_are_ignored(self):
         """A new host serves alone: the three addresses it was given are of machines long gone."""
         async with Deployment(hosts=2) as found:
             await found.until(lambda: any(h.leadership.holds() for h in found.hosts))
@@ -66,7 +66,7 @@
             await found.until(lambda: all_live(found))
 
     @run
-    async def test_the_hubs_end_is_survived(self):
+    async def test_hosts_recover_from_the_loss_of_the_hub(self):
         """All hosts lose sight of each other for seconds when the hub is lost."""
         async with Deployment(hosts=4) as found:
             await found.until(lambda: all_live(found) and len(hubs(found)) == 1)
@@ -88,20 +88,20 @@
             [holder] = [h for h in found.hosts if h.leadership.holds()]
             for host in found.hosts:
                 host.front.deployment = None
-            await holder.leadership.give_up()
+            await holder.leadership.release()
             await found.until(lambda: any(h.leadership.holds() for h in found.hosts))
 
 
-class TurnedAwayTest(unittest.TestCase):
+class RefusedHostTest(unittest.TestCase):
     @run
-    async def test_a_configuration_comes_over_links_where_the_store_turns_a_host_away(self):
+    async def test_a_configuration_arrives_over_links_where_the_store_refuses_a_host(self):
         """One host refuses a route that was added, as the store answers all others but not it."""
         async with Deployment(hosts=3) as found:
             await found.until(lambda: all_live(found))
             await found.until(lambda: any(h.leadership.holds() for h in found.hosts))
-            await found.until(lambda: all(h.peers.has_leader() for h in found.hosts))
-            away = next(h for h in found.hosts if not h.leadership.holds())
-            away.store._url = f"http://{free_address()}"
-            away.store.suspect()
+            await found.until(lambda: all(h.peers.has_lease_holder() for h in found.hosts))
+            refused = next(h for h in found.hosts if not h.leadership.holds())
+            refused.store._url = f"http://{free_address()}"
+            refused.store.suspect()
             found.configure(version=7)
-            await found.until(lambda: away.front.deployment.version == 7, seconds=4.0)
+            await found.until(lambda: refused.front.deployment.version == 7, seconds=4.0)
--- a/tests/relay/test_late.py
+++ b/tests/relay/test_late.py
@@ -13,7 +13,7 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.asks import EndpointEntry, HeldModel
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.late import LATE_SECONDS, LateOrders
+from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.relay.ordering import Orderer
 from tests.builders import make_ctx
 from tests.fakes import AlwaysLeads, FakeClock, settle
@@ -25,9 +25,9 @@
 # Shares of the orders that get no answer, and of the steps at which an engine starts again.
 LOST_SHARE = 0.4
 RESTART_SHARE = 0.03
-LEAST_LATE = 2.0
+MIN_DELAY_SECONDS = 2.0
 # Share of the steps at which other things are asked for.
-SHIFT_SHARE = 0.1
+DEMAND_CHANGE_SHARE = 0.1
 ITEMS = [*NAMES, *(f"{name}/a{number}" for name in NAMES for number in (1, 2))]
 # Eight that meet the fault without the guard, and four that do not.
 SEEDS = (8, 12, 25, 31, 69, 75, 92, 95, 1, 2, 3, 4)
@@ -42,7 +42,7 @@
         self.born = 1
         self.seq = 0
         self.models = {}
-        self.on_way = []
+        self.in_transit = []
         self.overfilled = 0
 
     def entry(self):
@@ -56,12 +56,12 @@
 
     def deliver(self):
         now = self.clock.monotonic()
-        due = [order for at, order in self.on_way if at <= now]
-        self.on_way = [row for row in self.on_way if row[0] > now]
+        due = [order for at, order in self.in_transit if at <= now]
+        self.in_transit = [row for row in self.in_transit if row[0] > now]
         for order in due:
-            self.carry_out(order)
+            self.execute(order)
 
-    def carry_out(self, order):
+    def execute(self, order):
         if order.expected != self.seq:
             return OrderAnswer.BUSY
         if order.adapter and order.model not in self.models:
@@ -91,9 +91,9 @@
 
     async def order(self, entry, order):
         if self.rng.random() >= LOST_SHARE:
-            return self.carry_out(order)
-        at = self.clock.monotonic() + self.rng.uniform(LEAST_LATE, LATE_SECONDS)
-        self.on_way.append((at, order))
+            return self.execute(order)
+        at = self.clock.monotonic() + self.rng.uniform(MIN_DELAY_SECONDS, MAX_ORDER_DELAY_SECONDS)
+        self.in_transit.append((at, order))
         return Failure(Kind.OUTCOME_UNKNOWN, "no answer")
 
     async def report(self, entry):
@@ -115,9 +115,9 @@
         if rng.random() < RESTART_SHARE:
             engine.restart()
         fleet.replace([engine.entry()])
-        if rng.random() < SHIFT_SHARE:
+        if rng.random() < DEMAND_CHANGE_SHARE:
             wanted = rng.sample(ITEMS, 4)
-        orderer.round(deployment, {item: Demand(1, 0.1) for item in wanted}, (), {})
+        orderer.plan_orders(deployment, {item: Demand(1, 0.1) for item in wanted}, (), {})
         await settle()
         clock.advance(STEP)
         await settle()
@@ -126,9 +126,9 @@
     return engine.overfilled, orders
 
 
-class LateOrdersTest(unittest.TestCase):
+class UnansweredOrdersTest(unittest.TestCase):
     @params(*SEEDS)
-    def test_no_late_order_overfills_the_next_start(self, seed):
+    def test_no_late_order_exceeds_the_capacity_of_the_next_start(self, seed):
         """An engine crashes again and again after its first crash.
 
         Loads that got no answer before it are carried out after it, beside those that the host
@@ -140,6 +140,6 @@
 
     def test_the_same_engines_are_overfilled_where_late_orders_are_forgotten(self):
         """The runs above meet the fault: without the guard, some of them show it."""
-        with patch.object(LateOrders, "items", lambda *args: frozenset()):
+        with patch.object(UnansweredOrders, "possible_items", lambda *args: frozenset()):
             found = [asyncio.run(play(seed))[0] for seed in SEEDS]
         self.assertGreater(sum(found), 0)
--- a/tests/relay/test_loads.py
+++ b/tests/relay/test_loads.py
@@ -8,9 +8,9 @@
 from peridotdock.membership import Member
 from peridotdock.relay.asks import ModelWish
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.peers import UPWARD, Peers
+from peridotdock.relay.peers import HUB_TOPICS, Peers
 from peridotdock.relay.settings import Address, HostSettings, Listen
-from peridotdock.relay.sums import write_runs, write_work
+from peridotdock.relay.aggregation import encode_runs, encode_work
 from peridotdock.schema.messages import EngineNews, Hello, HostFact, OrdersFact
 from tests.builders import facts_of, make_ctx
 from tests.fakes import FakeClock
@@ -35,11 +35,11 @@
         peers.membership.become("live")
         return peers, fleet
 
-    def hear(self, peers, origin, topic, fact, epoch=1):
+    def receive(self, peers, origin, topic, fact, epoch=1):
         """Take in a fact of another host."""
-        board = type(peers.board)(origin, epoch, self.clock)
+        board = type(peers.facts)(origin, epoch, self.clock)
         board.publish(topic, fact)
-        peers.board.merge(facts_of(board))
+        peers.facts.merge(facts_of(board))
 
     def host_fact(self, name, power):
         return HostFact(name, f"{name}-1", "north", "", "", "live", 1, power)
@@ -47,14 +47,14 @@
     def load(self, fleet):
         return fleet.states["i-1"].load(self.clock.monotonic())
 
-    async def test_the_hub_tells_the_sum(self):
+    async def test_the_hub_publishes_the_sum(self):
         peers, fleet = self.host("hub")
         for name, row in (("h1", (2, 500)), ("h2", (3, 700))):
-            self.hear(peers, name, "host", self.host_fact(name, 0))
-            self.hear(peers, name, "work", write_work({"i-1": row}))
-        peers.tell_loads()
+            self.receive(peers, name, "host", self.host_fact(name, 0))
+            self.receive(peers, name, "work", encode_work({"i-1": row}))
+        peers.publish_loads()
         self.assertEqual((5, 1200), self.load(fleet))
-        self.assertEqual(write_work({"i-1": (5, 1200)}), peers.board.get("hub", "loads").fact)
+        self.assertEqual(encode_work({"i-1": (5, 1200)}), peers.facts.get("hub", "loads").fact)
 
     async def test_a_host_leaves_its_own_work_out_of_the_sum(self):
         """Requests go away from an engine that seems twice as busy as it is.
@@ -62,71 +62,71 @@
         The sum of all hosts' work has this host's own in it, which it counts itself.
         """
         peers, fleet = self.host("h1", link_mbps=10.0)
-        self.hear(peers, "hub", "host", self.host_fact("hub", 1))
-        peers.board.publish("work", write_work({"i-1": (2, 500)}))
-        self.hear(peers, "hub", "loads", write_work({"i-1": (5, 1200)}))
+        self.receive(peers, "hub", "host", self.host_fact("hub", 1))
+        peers.facts.publish("work", encode_work({"i-1": (2, 500)}))
+        self.receive(peers, "hub", "loads", encode_work({"i-1": (5, 1200)}))
         self.assertEqual((3, 700), self.load(fleet))
 
     async def test_an_old_sum_no_longer_counts(self):
         peers, fleet = self.host("h1", link_mbps=10.0)
-        self.hear(peers, "hub", "host", self.host_fact("hub", 1))
-        self.hear(peers, "hub", "loads", write_work({"i-1": (5, 1200)}))
+        self.receive(peers, "hub", "host", self.host_fact("hub", 1))
+        self.receive(peers, "hub", "loads", encode_work({"i-1": (5, 1200)}))
         self.clock.advance(10.0)
         self.assertEqual((0, 0), self.load(fleet))
 
-    async def test_what_is_waited_for_goes_to_the_holder_of_the_lease_alone(self):
+    async def test_waiting_requests_are_sent_to_the_lease_holder_alone(self):
         """With 67 hosts each spends more on hearing of the others than on its own requests."""
         peers, _ = self.host("hub")
-        self.hear(peers, "h1", "orders", OrdersFact(3, []))
+        self.receive(peers, "h1", "orders", OrdersFact(3, []))
         to = {
             name: Link(Mock(), Hello("hello", name, f"{name}-1", b"", b""), dialled=False)
             for name in ("h1", "h2")
         }
         passed = {
             (link.peer.host, topic)
-            for topic in (*UPWARD, "host")
-            for link in peers._audience(("h3", topic), to.values())
+            for topic in (*HUB_TOPICS, "host")
+            for link in peers._select_links(("h3", topic), to.values())
         }
         expected = {("h1", topic) for topic in ("wants", "demand", "runs", "host")}
         expected.add(("h2", "host"))
         self.assertEqual(expected, passed)
 
-    async def test_what_runs_is_added_up_by_endpoint_and_item(self):
+    async def test_running_requests_are_added_up_by_endpoint_and_item(self):
         peers, fleet = self.host("h1")
-        self.hear(peers, "h2", "host", self.host_fact("h2", 0))
+        self.receive(peers, "h2", "host", self.host_fact("h2", 0))
         rows = {("i-1", "m0"): 2, ("i-1", "m0/a1"): 1, ("i-2", "m1"): 4}
-        self.hear(peers, "h2", "runs", write_runs(rows))
+        self.receive(peers, "h2", "runs", encode_runs(rows))
         wish = ModelWish("m0", "a1", 10, 1, ())
-        fleet.began(fleet.states["i-1"], "a1", wish, 10)
-        peers.tell_runs()
+        fleet.request_sent(fleet.states["i-1"], "a1", wish, 10)
+        peers.publish_runs()
         expected = {"i-1": {"m0": 2, "m0/a1": 2}, "i-2": {"m1": 4}}
         self.assertEqual(expected, peers.running())
 
-    async def test_what_the_hub_holds_back_is_told(self):
+    async def test_requests_queued_on_the_hub_are_published(self):
         peers, _ = self.host("hub")
         peers.queued = lambda: {"m0": 1500}
-        peers.tell_wants()
+        peers.publish_wants()
         self.assertEqual(Demand(0, 0.0, 0.0, 1500), peers.demand()["m0"])
 
-    async def test_a_load_that_goes_on_is_told_once(self):
+    async def test_a_load_in_progress_is_published_once(self):
         """Each look at a load under way goes to all hosts, though only its time has changed."""
         peers, _ = self.host("h1")
         told = []
-        peers.board.listen(lambda slots: told.extend(slots))
+        peers.facts.listen(lambda slots: told.extend(slots))
         for left in (1.2, 0.9, 0.6):
-            peers.tell_orders(1, [EngineNews("i-1", ["m0"], [], {"m1": left})], {})
+            peers.publish_orders(1, [EngineNews("i-1", ["m0"], [], {"m1": left})], {})
             self.clock.advance(0.3)
-        peers.tell_orders(1, [EngineNews("i-1", ["m0", "m1"], [], {})], {})
+        peers.publish_orders(1, [EngineNews("i-1", ["m0", "m1"], [], {})], {})
         self.assertEqual([("h1", "orders")] * 2, told)
 
-    async def test_a_thin_link_makes_no_hub(self):
+    async def test_a_host_with_a_slow_link_is_no_hub(self):
         peers, _ = self.host("h1", link_mbps=10.0)
         for number in range(9):
-            self.hear(peers, f"n{number}", "host", self.host_fact(f"n{number}", number % 2))
+            self.receive(peers, f"n{number}", "host", self.host_fact(f"n{number}", number % 2))
         order = peers.rank([f"n{n}" for n in range(9)] + ["h1"])
         self.assertEqual({"n1", "n3", "n5", "n7"}, {*order[:4]})
 
-    async def test_members_are_judged_when_they_are_heard_of(self):
+    async def test_members_are_evaluated_when_their_facts_arrive(self):
         """With 83 hosts each spends a sixth of its control work on who lives.
 
         A dozen looks a second judged all hosts, though a heartbeat changes one of them.
@@ -134,17 +134,17 @@
         peers, _ = self.host("h1")
         with patch("peridotdock.membership.Member", wraps=Member) as judged:
             for number in range(40):
-                self.hear(peers, f"n{number}", "host", self.host_fact(f"n{number}", 0))
+                self.receive(peers, f"n{number}", "host", self.host_fact(f"n{number}", 0))
                 peers.membership.members()
                 self.clock.advance(0.01)
         self.assertLessEqual(judged.call_count, 2 * 40)
         self.assertEqual(41, len(peers.membership.live()))
         self.clock.advance(5.0)
         self.assertEqual(["h1"], peers.membership.live())
-        self.hear(peers, "n7", "host", self.host_fact("n7", 0), epoch=2)
+        self.receive(peers, "n7", "host", self.host_fact("n7", 0), epoch=2)
         self.assertEqual(["h1", "n7"], peers.membership.live())
 
-    async def test_work_of_others_looks_at_no_link(self):
+    async def test_work_facts_of_other_hosts_scan_no_links(self):
         """The hub reads its callers' requests late.
 
         For each of 400 words a second on work at endpoints it looked at each of 82 links, and sent
@@ -160,7 +160,7 @@
 
         link = Link(Mock(), Hello("hello", "h2", "h2-1", b"", b""), dialled=False)
         peers.mesh._links = Links([link])
-        self.hear(peers, "h1", "work", write_work({"i-1": (1, 100)}))
+        self.receive(peers, "h1", "work", encode_work({"i-1": (1, 100)}))
         self.assertEqual([], looked)
-        self.hear(peers, "h1", "host", self.host_fact("h1", 0))
+        self.receive(peers, "h1", "host", self.host_fact("h1", 0))
         self.assertEqual({("h1", "host")}, link.dirty)
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -62,7 +62,7 @@
 
         follower = Follower(make_ctx(clock), FlakyTables(clock), "t", take, lambda: 0.0)
         follower._version = 1
-        self.assertTrue(follower.feed(Rows("rows", "t", "reader", 1, 1, 2, {"bad": b"x"})))
+        self.assertTrue(follower.receive(Rows("rows", "t", "reader", 1, 1, 2, {"bad": b"x"})))
         self.assertEqual(1, follower.version)
 
 
@@ -82,11 +82,11 @@
                 follower = Follower(
                     make_ctx(clock), FlakyTables(clock), "t", lambda *row: None, lambda: 0.0
                 )
-                follower.reads = lambda: False
+                follower.must_read = lambda: False
                 follower._version = 1
-                follower.feed(Rows("rows", "t", "reader", 1, 1, 9, changed=True))
-                follower.feed(late)
-                self.assertFalse(follower._rests())
+                follower.receive(Rows("rows", "t", "reader", 1, 1, 9, changed=True))
+                follower.receive(late)
+                self.assertFalse(follower._fed_by_reader())
 
     async def test_a_change_that_was_late_to_come_is_not_taken_for_new(self):
         """Hosts believe in a view for 0.4 s more than it is worth.
@@ -126,7 +126,7 @@
             until = clock.monotonic() + seconds
             while clock.monotonic() < until:
                 await settle()
-                reader.views.keep_telling()
+                reader.views.publish_unchanged()
                 wire.deliver()
                 clock.advance(TICK)
 
@@ -187,7 +187,7 @@
         self.far.publish("host", host_fact("h2"))
         self.far.publish("wants", WantsFact({}, ["e1"]))
         self.near.merge(facts_of(self.far))
-        peers = SimpleNamespace(membership=members, board=self.near)
+        peers = SimpleNamespace(membership=members, facts=self.near)
         self.assertEqual({"e1"}, Peers.down(peers))
         self.clock.advance(5.0)
         members.beat()
@@ -204,13 +204,13 @@
         known = self.far.get("h2", "orders")
         self.near.merge([replace(known.entry, age=30_000)])
         peers = SimpleNamespace(
-            board=self.near,
-            _leader="h2",
+            facts=self.near,
+            _lease_holder="h2",
             _fleet=fleet,
             on_term=lambda term: None,
         )
-        Peers._take_orders(peers)
-        self.assertEqual(0.0, fleet.coming("s", "m"))
+        Peers._apply_orders(peers)
+        self.assertEqual(0.0, fleet.seconds_until_loaded("s", "m"))
 
 
 class PlanTest(unittest.TestCase):
@@ -223,7 +223,7 @@
         async with Deployment(hosts=1) as found:
             host = found.hosts[0]
             await found.until(host.leadership.may_order)
-            plan, rounds = host.orderer.round, []
+            plan, rounds = host.orderer.plan_orders, []
 
             def fail_once(*args):
                 rounds.append(1)
@@ -231,7 +231,7 @@
                     raise KeyError("once")
                 return plan(*args)
 
-            host.orderer.round = fail_once
+            host.orderer.plan_orders = fail_once
             await found.until(lambda: len(rounds) > 1, seconds=3.0)
 
 
@@ -259,7 +259,7 @@
             loop.sock_connect = connect_late
             ask = asyncio.ensure_future(found.ask("/fetch/x"))
             await begun.wait()
-            [chosen] = [s.key for s in host.fleet.states.values() if s.flights]
+            [chosen] = [s.key for s in host.fleet.states.values() if s.in_flight]
             entry = host.fleet.states[chosen].entry
             host.fleet.update({chosen: replace(entry, leaving=True)})
             slow.set()
