--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -90,10 +90,10 @@
         state = self._fleet.states.get(grant.endpoint)
         if state is None or state not in self._fleet.usable(progress.service, inference):
             return None
-        if state.rests_until > self._ctx.clock.monotonic():
+        if state.backoff_until > self._ctx.clock.monotonic():
             return None
-        work = self._fleet.work(progress.service, inference)
-        row = self._fleet.candidates_known([state], inference, frozenset(), "")[0]
+        work = self._fleet.estimate_work(progress.service, inference)
+        row = self._fleet.hub_candidates([state], inference, frozenset(), "")[0]
         row = replace(row, queued_tokens=grant.ahead / work.seconds_per_token)
         return Prediction(row, predict(row, work), granted=True)
 
@@ -126,7 +126,7 @@
         self, candidates: Sequence[Candidate], req: RelayRequest, progress: Progress
     ) -> Prediction | Failure:
         """Choose one of some endpoints, and turn away what would wait for too long."""
-        work = self._fleet.work(progress.service, req.head.inference)
+        work = self._fleet.estimate_work(progress.service, req.head.inference)
         found = choose(candidates, work, self._ctx.rng)
         if found is None:
             return Failure(Kind.NO_ENDPOINT, progress.service, NO_ENDPOINT_RETRY_SECONDS)
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -25,7 +25,7 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.requests import InferenceSpec, PromptPart, RelayRequest
 from peridotdock.relay.caller import CallerConnection
-from peridotdock.relay.endpoint import EndpointState, name_wish
+from peridotdock.relay.endpoint import EndpointState, item_name
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import Grant as GrantFrame
@@ -132,11 +132,11 @@
         self._queued_grants[key] = QueuedGrant(
             host, frame.number, frame.service, inference, frozenset(frame.avoid)
         )
-        work = self._fleet.work(frame.service, inference)
+        work = self._fleet.estimate_work(frame.service, inference)
         send_by = (
             now + frame.spare / 1000 - work.tokens * work.seconds_per_token - FIRST_TOKEN_OVERHEAD_SECONDS
         )
-        item = name_wish(inference)
+        item = item_name(inference)
         stay_until = now + frame.stays / 1000
         pacer = self._pacers.setdefault(frame.service, Pacer(self._ctx.rng))
         pacer.add(QueuedPrompt(key, item, work, frame.rank, send_by, stay_until, bool(frame.avoid)))
@@ -192,7 +192,7 @@
             key = row.prediction.candidate.key
             state = self._fleet.states.get(key)
             if state is not None:
-                state.remember(queued.inference)
+                state.add_cached_parts(queued.inference)
                 self.spend_permit(state)
             ahead = row.prediction.candidate.queued_tokens * row.prompt.work.seconds_per_token
             frame = GrantFrame("grant", queued.number, key, 0, int(1000 * ahead))
@@ -202,7 +202,7 @@
         queued = self._queued_grants[req.id]
         states = self._fleet.usable(queued.service, queued.inference)
         domain = self._find_domain(queued.host)
-        rows = self._fleet.candidates_known(states, queued.inference, queued.avoid, domain)
+        rows = self._fleet.hub_candidates(states, queued.inference, queued.avoid, domain)
         return [self._with_permit(row) if row.rate_limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
--- a/peridotdock/relay/item_waits.py
+++ b/peridotdock/relay/item_waits.py
@@ -8,7 +8,7 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.requests import InferenceSpec, RelayRequest
 from peridotdock.relay.caller import CallerConnection
-from peridotdock.relay.endpoint import name_wish
+from peridotdock.relay.endpoint import item_name
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
 from peridotdock.requests import Loss, RequestState, loss_failure
@@ -109,21 +109,21 @@
         row = self.deployment.services.get(service) if self.deployment else None
         model = row.engine.models.get(inference.model) if row and row.engine else None
         load = self._fleet.load_seconds(service, model) if model else PLAIN_SERVICE_WAIT_SECONDS
-        return Absence(remaining, self._fleet.coming(service, inference.model), load)
+        return Absence(remaining, self._fleet.seconds_until_loaded(service, inference.model), load)
 
     def _add_waiting(self, item: str) -> None:
         waiting = self._peers.waiting
         waiting[item] = waiting.get(item, 0) + 1
-        self._peers.tell_wants()
+        self._peers.publish_wants()
 
     def _remove_waiting(self, item: str) -> None:
         waiting = self._peers.waiting
         waiting[item] -= 1
         if not waiting[item]:
             del waiting[item]
-        self._peers.tell_wants()
+        self._peers.publish_wants()
 
 
 def name_item(service: str, inference: InferenceSpec | None) -> str:
     """Return the name under which a model or adapter is asked for."""
-    return service if inference is None else name_wish(inference)
+    return service if inference is None else item_name(inference)
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -56,12 +56,12 @@
         There is none for an endpoint that wants a rest from this host.
         """
         now = self._ctx.clock.monotonic()
-        if state.rests_until > now:
-            return Permit(False, state.rests_until - now)
+        if state.backoff_until > now:
+            return Permit(False, state.backoff_until - now)
         if not state.limited:
             return NO_WAIT
-        if state.permit_from > now + min(max_wait, MAX_ADVANCE_SECONDS):
-            return Permit(False, state.permit_from - now)
+        if state.next_permit_at > now + min(max_wait, MAX_ADVANCE_SECONDS):
+            return Permit(False, state.next_permit_at - now)
         hub = self._peers.hub()
         permit = (
             self.issue(state, max_wait)
@@ -69,7 +69,7 @@
             else await self._call_hub(hub, state, max_wait, caller)
         )
         if not permit.given:
-            state.permit_from = self._ctx.clock.monotonic() + max(
+            state.next_permit_at = self._ctx.clock.monotonic() + max(
                 MIN_DENIED_WAIT_SECONDS, permit.wait
             )
         return permit
@@ -133,4 +133,4 @@
 
     def _hub_share(self, state: EndpointState) -> float:
         """Return the part of a limit that this hub may give."""
-        return state.limit.rate * self._peers.part()
+        return state.limit.rate * self._peers.hub_share()
--- a/peridotdock/relay/request_handler.py
+++ b/peridotdock/relay/request_handler.py
@@ -123,9 +123,9 @@
         """Count what a request asks of the engines, by model and adapter."""
         inference = req.head.inference
         if inference is not None:
-            seconds = expected_prefill_seconds(self._service.fleet.work(progress.service, inference))
+            seconds = expected_prefill_seconds(self._service.fleet.estimate_work(progress.service, inference))
             now = self._ctx.clock.monotonic()
-            self._peers.meter.add(name_item(progress.service, inference), seconds, now)
+            self._peers.demand_meter.add(name_item(progress.service, inference), seconds, now)
 
     async def _stream_body(self, req, caller, progress, source: StreamSource):
         """Pass a stream on, and count it as in work until it has ended."""
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -110,7 +110,7 @@
             req.body,
             once=True,
             connect=connect_timeout(remaining),
-            wanted=state.takes_work,
+            wanted=state.accepts_requests,
         )
         sent_at = self._clock.monotonic()
         work = self._endpoints.open(f"http://{state.entry.address}", call)
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -121,7 +121,7 @@
 
     def note_gap(self, state: EndpointState, service: str, seconds: float, events: int) -> None:
         """Learn from the time until some events of a stream came, since those before."""
-        self.fleet.note_event(service, seconds / events)
+        self.fleet.record_event_gap(service, seconds / events)
         self.on_gap(service, state.key, seconds)
 
     def may_repeat(
@@ -180,12 +180,13 @@
         inference = req.head.inference
         tokens = (
             (
-            uncached_tokens(prediction.candidate, self.fleet.work(progress.service, inference))
+            (
+            uncached_tokens(prediction.candidate, self.fleet.estimate_work(progress.service, inference))
             if inference
             else 0
         )
         alone = prediction.candidate.queued_tokens == 0 if prediction.granted else None
-        self.fleet.began(state, req.id, inference, tokens, alone)
+        self.fleet.request_sent(state, req.id, inference, tokens, alone)
         started_at = self.ctx.clock.monotonic()
         streaming = False
         try:
@@ -205,7 +206,7 @@
             return found
         finally:
             if not streaming:
-                self.fleet.ended(state, req.id, progress.service, whole=False)
+                self.fleet.request_ended(state, req.id, progress.service, complete=False)
 
     def _note_send(self, req: RelayRequest, progress: Progress, prediction: Prediction) -> None:
         """Log which endpoint was chosen, and what was known of it."""
@@ -268,7 +269,7 @@
                 await source.close(caller)
                 return failure
             source.started_at = self.ctx.clock.monotonic()
-            self.fleet.answered(sent.state, req.id, req.head.inference)
+            self.fleet.first_token_received(sent.state, req.id, req.head.inference)
             self._note_first_event(req, sent.state, req.received_at)
             return source
         try:
@@ -277,7 +278,7 @@
             await sent.opened.release()
         if failed(body):
             return body
-        self.fleet.ended(sent.state, req.id, service, whole=True)
+        self.fleet.request_ended(sent.state, req.id, service, complete=True)
         if sent.head.status in SUCCESS:
             self.blocklist.note_answer(req)
         return CompleteAnswer(sent.state, sent.head, body)
@@ -331,7 +332,7 @@
         if found.kind is Kind.ENDPOINT_REFUSED:
             state.health.record_error(now)
         elif found.kind is Kind.ENDPOINT_LACKS and req.head.inference is not None:
-            state.note_lack(req.head.inference, now)
+            state.record_missing(req.head.inference, now)
         elif found.kind is Kind.ENDPOINT_LACKS:
             # A plain service lacks nothing: its address has been taken by another.
             state.health.record_unreachable(now)
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -93,7 +93,7 @@
                     yield raw
         finally:
             whole = outcome is None and source.ended and not source.ready
-            service.fleet.ended(source.state, req.id, progress.service, whole)
+            service.fleet.request_ended(source.state, req.id, progress.service, whole)
             await source.close(caller)
         if outcome is None:
             pauses.report(source.state)
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -65,7 +65,7 @@
         None tells that it is time to look again.
         """
         row = min(rows, key=lambda row: row.available_in)
-        seconds = predict(row, self._fleet.work(progress.service, req.head.inference))
+        seconds = predict(row, self._fleet.estimate_work(progress.service, req.head.inference))
         max_wait = max(0.0, req.first_event_deadline - self._ctx.clock.monotonic() - seconds)
         if row.backoff and self.is_draining():
             # Other hosts may send there; this one may be gone before an answer is whole.
