--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -17,7 +17,7 @@
 
 from extras.samples import HANEUL, make_manifest
 from peridotdock import manifest as manifests
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clients.endpoint import EngineLoad
 from peridotdock.clock import SystemClock
 from peridotdock.columns import pack
@@ -95,7 +95,7 @@
     """Cost of taking a fact into the board and the fleet, and what they weigh."""
     for endpoints, hosts in ((9, 9), (940, 350)):
         before = rss_mb()
-        board = Board("me", 1, SystemClock())
+        board = FactTable("me", 1, SystemClock())
         fleet = Fleet(board, SystemClock())
         fleet.states = {
             f"runner-{n:04}": EndpointState(f"runner-{n:04}", "", "") for n in range(endpoints)
@@ -133,7 +133,7 @@
 def measure_membership() -> None:
     """Cost of looking at all hosts and of the rounds over all endpoints."""
     for hosts in (9, 350):
-        board = Board("h0", 1, SystemClock())
+        board = FactTable("h0", 1, SystemClock())
         own = HostFact("h0", "h0-1", "zone", "", "", "live", 0)
         membership = Membership(board, own, SystemClock())
         facts = [HostFact(f"h{n}", f"h{n}-1", "zone", "", "", "live", 0) for n in range(hosts)]
@@ -144,11 +144,11 @@
         count = 9 if hosts == 9 else 940
         names = [f"runner-{n:04}" for n in range(count)]
         began = time.perf_counter()
-        assignment.mine(names, live)
+        assignment.own_keys(names, live)
         first = round((time.perf_counter() - began) * 1e3, 2)
 
         def again(assignment=assignment, names=names, live=live) -> None:
-            assignment.mine(names, live)
+            assignment.own_keys(names, live)
 
         spent = clock_us(again, 50)
         say("assign endpoints", hosts=hosts, endpoints=count, first_ms=first, **spent)
@@ -165,9 +165,9 @@
         now = time.monotonic()
         for state in states:
             state.load, state.load_at = EngineLoad(3, 1, 900, 8, 8000, 10000), now
-            state.remember(blocks[:5], now)
+            state.add_cached_blocks(blocks[:5], now)
             for n in range(20):
-                state.began(f"r{n}", now, 500)
+                state.note_sent(f"r{n}", now, 500)
         wish = Wish("m@1", 2000, blocks, 5, 0.49, "d0")
         say(
             "routing decision",
--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from multiprocessing.connection import Connection
 
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clock import SystemClock
 from peridotdock.context import build_context
 from peridotdock.links import Link
@@ -100,7 +100,7 @@
             peer_port=self.address.port,
         )
         ctx = build_context(cfg, rng=rng)
-        self.board = Board(self.name, ctx.epoch, ctx.clock)
+        self.board = FactTable(self.name, ctx.epoch, ctx.clock)
         self.mesh = Mesh(ctx, self.board, lambda digest: b"", lambda found: [], self._audience)
         entry = f"10.0.0.{number}:8080"
         own = HostFact(
--- a/peridotdock/admin.py
+++ b/peridotdock/admin.py
@@ -102,7 +102,7 @@
         accepted = self._host.accepted
         if accepted is None:
             return answer_failure(Failure(Kind.NOT_READY), "")
-        heads = self._host.board.on("heads")
+        heads = self._host.facts.by_origin("heads")
         members = self._host.membership.members()
         hosts = [
             {
@@ -142,7 +142,7 @@
                 "items": len(state.items),
                 "running": state.load.running,
                 "waiting": state.load.waiting,
-                "own": len(state.own),
+                "own": len(state.own_requests),
                 "report_age": round(max(0.0, min(now - state.load_at, 9999.0)), 2),
             }
             for state in self._host.fleet.states.values()
@@ -153,7 +153,7 @@
         """Show every reservation and the plan's next moves."""
         rows = [
             {"endpoint": name, "item": row.item, "state": row.state, "bytes": row.bytes}
-            for known in self._host.board.on("ledger").values()
+            for known in self._host.facts.by_origin("ledger").values()
             for name, found in known.fact.rows.items()
             for row in found
         ]
@@ -174,7 +174,7 @@
                 "entry": row.fact.entry,
                 "incarnation": row.fact.incarnation,
                 "lease": name in held,
-                "silent_seconds": round(max(0.0, now - row.heard_at), 1),
+                "silent_seconds": round(max(0.0, now - row.last_seen_at), 1),
             }
             for name, row in sorted(self._host.membership.members().items())
         ]
--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from peridotdock.board import Board, Known, Slot
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.decisions.poison import FATAL_ENDS, Verdict, find_poison
 from peridotdock.errors import Failure, Kind
@@ -27,12 +27,12 @@
 REMEMBERED_SECONDS = 3600.0
 # Seconds until the caller of a request that is to be tried may come back: most answers are there by
 # then, and the next one can be tried.
-TRY_AGAIN_SECONDS = 1.0
+TRIAL_RETRY_SECONDS = 1.0
 # Ends that a host remembers: those of all endpoints of the size designed for.
-MOST_ENDS = 1000
+MAX_ENDS = 1000
 # Ends that a host tells of, beside those under blocked requests, and answers. Older ones were told
 # before; the bound keeps the message small when all endpoints of a failure domain end at once.
-MOST_TOLD = 32
+MAX_PUBLISHED_ENDS = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,10 +52,10 @@
 
     at: float
     contents: frozenset[str]
-    told: frozenset[str]
+    published: frozenset[str]
 
 
-class Identified(Protocol):
+class IdentifiedRequest(Protocol):
     """A request that is known again in another attempt."""
 
     @property
@@ -74,77 +74,77 @@
     def __init__(
         self,
         ctx: Context,
-        board: Board,
+        facts: FactTable,
         has_ended: Callable[[EndpointStart, float], bool],
         may_try: Callable[[], bool],
     ):
         self._ctx = ctx
-        self._board = board
+        self._facts = facts
         self._has_ended = has_ended
         self._ends: dict[EndpointStart, End] = {}
         self._counts: Counter[str] = Counter()
-        self._often: set[str] = set()
-        self._news = False
+        self._suspects: set[str] = set()
+        self._judgement_due = False
         self._answered: dict[str, float] = {}
         self._logged: frozenset[str] = frozenset()
         self._trials = Trials(ctx, may_try)
-        self._untold = False
+        self._unpublished = False
         self.on_blocked: Callable[[], None] = lambda: None
-        board.listen(self._hear)
+        facts.listen(self._on_changed)
 
     # What this host sees
 
-    def note_end(self, ask: Identified, start: EndpointStart) -> None:
+    def note_end(self, req: IdentifiedRequest, start: EndpointStart) -> None:
         """Note that an endpoint broke off soon after it had been sent a request."""
-        content = frozenset({ask.content_id})
-        self._add(start, self._ctx.clock.monotonic(), content, told=content)
-        self._trials.end(ask)
-        self._untold = True
-        self._look()
+        content = frozenset({req.content_id})
+        self._add(start, self._ctx.clock.monotonic(), content, published=content)
+        self._trials.end(req)
+        self._unpublished = True
+        self._judge_if_due()
 
-    def note_answer(self, ask: Identified) -> None:
+    def note_answer(self, req: IdentifiedRequest) -> None:
         """Note that a request was answered with success: it ends nothing."""
         if not self._counts:
             return
-        content = ask.content_id
+        content = req.content_id
         if content in self._counts:
             self._clear(content, self._ctx.clock.monotonic())
-            self._trials.end(ask)
-            self._untold = True
+            self._trials.end(req)
+            self._unpublished = True
 
-    def refusal(self, ask: Identified) -> Failure | None:
+    def refusal(self, req: IdentifiedRequest) -> Failure | None:
         """Return why a request must not be sent, or None."""
-        if not self._often:
+        if not self._suspects:
             return None
-        content = ask.content_id
-        if content not in self._often:
+        content = req.content_id
+        if content not in self._suspects:
             return None
         verdict = self._judge()
         if content not in verdict.blocked:
             return None
         ends = [end.at for end in self._ends.values() if content in end.contents]
-        left = max(ends) + BLOCKED_SECONDS - self._ctx.clock.monotonic()
-        certain = left > 0 and content not in verdict.doubtful
-        if not certain and self._trials.allows(ask):
+        remaining = max(ends) + BLOCKED_SECONDS - self._ctx.clock.monotonic()
+        certain = remaining > 0 and content not in verdict.doubtful
+        if not certain and self._trials.allows(req):
             return None
-        again = left if certain else TRY_AGAIN_SECONDS
-        return Failure(Kind.BLOCKED, f"content {content}, {len(ends)} ended", again)
+        retry_after = remaining if certain else TRIAL_RETRY_SECONDS
+        return Failure(Kind.BLOCKED, f"content {content}, {len(ends)} ended", retry_after)
 
     def blocked(self) -> frozenset[str]:
         """Return the contents that must not be sent now, and log those that are new."""
         return self._judge().blocked
 
     def _judge(self) -> Verdict:
-        self._news = False
-        self._forget()
+        self._judgement_due = False
+        self._expire()
         ends = self._ends.items()
-        found = find_poison(end.contents for start, end in ends if self._has_ended(start, end.at))
-        news, self._logged = found.blocked - self._logged, found.blocked
-        for content in news:
-            self._log(content, found)
-        if news:
+        verdict = find_poison(end.contents for start, end in ends if self._has_ended(start, end.at))
+        new, self._logged = verdict.blocked - self._logged, verdict.blocked
+        for content in new:
+            self._log(content, verdict)
+        if new:
             self.on_blocked()
-        return found
+        return verdict
 
     def _log(self, content: str, verdict: Verdict) -> None:
         names = [start.endpoint for start, end in self._ends.items() if content in end.contents]
@@ -152,12 +152,12 @@
         detail = f"content {content}{doubt}, ended: {' '.join(names)}"
         self._ctx.timeline.add("request_blocked", "WARNING", detail=detail)
 
-    def _look(self) -> None:
+    def _judge_if_due(self) -> None:
         """Look for requests to block when one is at enough ends, not when it comes again.
 
         Only then: an end is noted for each of the requests that were there, sixty at a time.
         """
-        if self._news:
+        if self._judgement_due:
             self.blocked()
 
     # What all know
@@ -167,7 +167,7 @@
         start: EndpointStart,
         at: float,
         contents: frozenset[str],
-        told: frozenset[str] = frozenset(),
+        published: frozenset[str] = frozenset(),
     ) -> None:
         """Add requests to an end, but for those that were answered since."""
         contents = frozenset(c for c in contents if self._answered.get(c, float("-inf")) < at)
@@ -175,11 +175,11 @@
             return
         known = self._ends.get(start) or End(at, frozenset(), frozenset())
         self._counts.update(contents - known.contents)
-        often = {c for c in contents if self._counts[c] >= FATAL_ENDS}
-        self._news = self._news or not often <= self._often
-        self._often |= often
+        suspects = {c for c in contents if self._counts[c] >= FATAL_ENDS}
+        self._judgement_due = self._judgement_due or not suspects <= self._suspects
+        self._suspects |= suspects
         self._ends[start] = End(
-            min(known.at, at), known.contents | contents, known.told | (told & contents)
+            min(known.at, at), known.contents | contents, known.published | (published & contents)
         )
 
     def _clear(self, content: str, at: float) -> None:
@@ -194,56 +194,56 @@
         for content in contents & end.contents:
             self._counts[content] -= 1
             if self._counts[content] < FATAL_ENDS:
-                self._often.discard(content)
+                self._suspects.discard(content)
             if not self._counts[content]:
                 del self._counts[content]
-        rest = replace(end, contents=end.contents - contents, told=end.told - contents)
+        rest = replace(end, contents=end.contents - contents, published=end.published - contents)
         if rest.contents:
             self._ends[start] = rest
         else:
             del self._ends[start]
 
-    def _forget(self) -> None:
+    def _expire(self) -> None:
         """Forget what is too old, and the oldest of what is too much."""
         oldest = self._ctx.clock.monotonic() - REMEMBERED_SECONDS
         by_age = sorted(self._ends, key=lambda start: self._ends[start].at)
         late = {start for start in by_age if self._ends[start].at < oldest}
-        late.update(by_age[: max(0, len(by_age) - MOST_ENDS)])
+        late.update(by_age[: max(0, len(by_age) - MAX_ENDS)])
         for start in late:
             self._drop(start, self._ends[start].contents)
         self._answered = {content: at for content, at in self._answered.items() if at >= oldest}
 
     # What hosts tell each other
 
-    def tell(self) -> None:
+    def publish_changes(self) -> None:
         """Tell the other hosts what is new."""
-        if self._untold:
-            self._untold = False
-            self._forget()
-            self._board.publish(TOPIC, self._fact())
+        if self._unpublished:
+            self._unpublished = False
+            self._expire()
+            self._facts.publish(TOPIC, self._make_fact())
 
-    def _fact(self) -> EndsFact:
+    def _make_fact(self) -> EndsFact:
         now = self._ctx.clock.monotonic()
         blocked = self.blocked()
-        told = [(start, end) for start, end in self._ends.items() if end.told]
-        told.sort(key=lambda row: (bool(row[1].told & blocked), row[1].at), reverse=True)
-        most = MOST_TOLD + sum(bool(end.told & blocked) for _, end in told)
+        published = [(start, end) for start, end in self._ends.items() if end.published]
+        published.sort(key=lambda row: (bool(row[1].published & blocked), row[1].at), reverse=True)
+        limit = MAX_PUBLISHED_ENDS + sum(bool(end.published & blocked) for _, end in published)
         ends = [
-            EndpointEnd(start.endpoint, start.start, round(now - end.at, 2), sorted(end.told))
-            for start, end in told[:most]
+            EndpointEnd(start.endpoint, start.start, round(now - end.at, 2), sorted(end.published))
+            for start, end in published[:limit]
         ]
         answered = sorted(self._answered.items(), key=lambda row: row[1], reverse=True)
-        return EndsFact(ends, {c: round(now - at, 2) for c, at in answered[:MOST_TOLD]})
+        return EndsFact(ends, {c: round(now - at, 2) for c, at in answered[:MAX_PUBLISHED_ENDS]})
 
-    def _hear(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         for origin, topic in slots:
-            known = self._board.get(origin, topic) if topic == TOPIC else None
-            if known is not None and origin != self._board.host:
-                self._take(known)
-                self._forget()
-                self._look()
+            known = self._facts.get(origin, topic) if topic == TOPIC else None
+            if known is not None and origin != self._facts.host:
+                self._merge_fact(known)
+                self._expire()
+                self._judge_if_due()
 
-    def _take(self, known: Known) -> None:
+    def _merge_fact(self, known: KnownFact) -> None:
         for content, age in known.fact.answered.items():
             self._clear(content, known.at - age)
         for row in known.fact.ends:
@@ -261,12 +261,12 @@
             if end.contents & blocked
         ]
 
-    def vouch(self, ends: Iterable[EndpointEnd]) -> None:
+    def adopt(self, ends: Iterable[EndpointEnd]) -> None:
         """Take in ends, and tell of them as of those that this host saw itself."""
         now = self._ctx.clock.monotonic()
         for row in ends:
             start, contents = EndpointStart(row.endpoint, row.start), frozenset(row.contents)
             known = self._ends.get(start)
-            if known is None or not contents <= known.told:
-                self._add(start, now - row.age, contents, told=contents)
-                self._untold = True
+            if known is None or not contents <= known.published:
+                self._add(start, now - row.age, contents, published=contents)
+                self._unpublished = True
--- a/peridotdock/keeping.py
+++ b/peridotdock/blocklist_store.py
@@ -18,38 +18,38 @@
 
 BLOCKED_KEY = "blocked"
 # Seconds between two looks for requests that are newly blocked.
-KEEP_SECONDS = 1.0
+CHECK_SECONDS = 1.0
 # Newest ends that the row holds, well within the most bytes that a row may have.
-MOST_KEPT = 200
+MAX_STORED_ENDS = 200
 # What a row that another version wrote may raise when it is read.
-UNREADABLE = (KeyError, TypeError, ValueError, msgspec.ValidationError)
+DECODE_ERRORS = (KeyError, TypeError, ValueError, msgspec.ValidationError)
 
 
-class BlocklistKeeper:
+class BlocklistStore:
     """Reads and writes the row while ``holds`` tells that this host is the one to keep it."""
 
     def __init__(
-        self, ctx: Context, store: Platform, holds: Callable[[], bool], blocklist: Blocklist
+        self, ctx: Context, store: Platform, is_writer: Callable[[], bool], blocklist: Blocklist
     ):
         self._ctx = ctx
         self._store = store
-        self._holds = holds
+        self._is_writer = is_writer
         self._blocklist = blocklist
         self._has_read = False
         self._version = 0
-        self._kept: frozenset[str] = frozenset()
+        self._stored_contents: frozenset[str] = frozenset()
 
     async def step(self) -> None:
         """Read the row once; write it anew when a request is newly blocked."""
-        if not self._holds():
+        if not self._is_writer():
             self._has_read = False
             return
         if not self._has_read and not await self._read():
             return
         ends = self._blocklist.ends_of_blocked()
-        self._blocklist.vouch(ends)
+        self._blocklist.adopt(ends)
         contents = frozenset(content for end in ends for content in end.contents)
-        if contents - self._kept:
+        if contents - self._stored_contents:
             await self._write(ends, contents)
 
     async def _read(self) -> bool:
@@ -59,14 +59,14 @@
         row = rows.get(BLOCKED_KEY)
         self._version = row.version if row else 0
         ends = self._decode(row.value) if row else []
-        self._kept = frozenset(content for end in ends for content in end.contents)
-        self._blocklist.vouch(ends)
+        self._stored_contents = frozenset(content for end in ends for content in end.contents)
+        self._blocklist.adopt(ends)
         self._has_read = True
         return True
 
     async def _write(self, ends: list[EndpointEnd], contents: frozenset[str]) -> None:
         written_at = self._ctx.clock.now().timestamp()
-        newest = sorted(ends, key=lambda end: end.age)[:MOST_KEPT]
+        newest = sorted(ends, key=lambda end: end.age)[:MAX_STORED_ENDS]
         value = {"written_at": written_at, "ends": [asdict(end) for end in newest]}
         tx = Transaction({BLOCKED_KEY: self._version}, {BLOCKED_KEY: value})
         outcome = await commit_surely(self._store, tx)
@@ -75,7 +75,7 @@
             self._has_read = False
             self._ctx.timeline.add("blocked_not_kept", "WARNING", detail=outcome.reason)
             return
-        self._version, self._kept = outcome.version, contents
+        self._version, self._stored_contents = outcome.version, contents
         self._ctx.timeline.add("blocked_kept", detail=f"contents {' '.join(sorted(contents))}")
 
     def _decode(self, value: dict) -> list[EndpointEnd]:
@@ -86,7 +86,7 @@
         try:
             passed = max(0.0, self._ctx.clock.now().timestamp() - float(value["written_at"]))
             rows = msgspec.convert(value["ends"], list[EndpointEnd])
-        except UNREADABLE as exc:
+        except DECODE_ERRORS as exc:
             detail = f"{BLOCKED_KEY}: {type(exc).__name__}: {exc}"
             self._ctx.timeline.add("rows_refused", "ERROR", detail=detail)
             return []
--- a/peridotdock/controllers.py
+++ b/peridotdock/controllers.py
@@ -20,20 +20,20 @@
 from peridotdock.manifest import Accepted
 from peridotdock.schema.manifest import Endpoint
 
-ORDER_SECONDS = 120.0
+ORDER_TIMEOUT_SECONDS = 120.0
 RESEND_SECONDS = 3.0
 SEND_MARGIN_SECONDS = 0.5
 DRAIN_SECONDS = 1.0
-IDLE_SECONDS = 3.0
+IDLE_CHECK_SECONDS = 3.0
 ACTIONS = {State.LOADING: "load", State.UNLOADING: "unload"}
 
 
 @dataclass
-class Sending:
+class SentOrder:
     """An order on its way: which, since when, and the task that waits for its answer."""
 
     order: int
-    at: float
+    sent_at: float
     task: asyncio.Task[None]
 
 
@@ -44,12 +44,12 @@
     endpoint: Endpoint
     ledger: Ledger
     version: int
-    sending: dict[str, Sending] = field(default_factory=dict)
+    sent_orders: dict[str, SentOrder] = field(default_factory=dict)
     answered: dict[str, int] = field(default_factory=dict)
-    quiet_since: dict[str, float] = field(default_factory=dict)
+    quarantined_since: dict[str, float] = field(default_factory=dict)
     resend: set[str] = field(default_factory=set)
-    unload_since: dict[str, float] = field(default_factory=dict)
-    looked_at: float = float("-inf")
+    draining_since: dict[str, float] = field(default_factory=dict)
+    checked_at: float = float("-inf")
 
 
 class Controller:
@@ -77,11 +77,11 @@
         """Take in a scan of all ledger rows."""
         self.rows = {key.removeprefix(ledgers.KEY_PREFIX): row for key, row in rows.items()}
 
-    async def tend(self, endpoint: Endpoint, chosen: bool, accepted: Accepted) -> None:
+    async def reconcile(self, endpoint: Endpoint, chosen: bool, accepted: Accepted) -> None:
         """Do one round for an engine: hold it, or take it over where that is ours to do."""
         record = self.records.get(endpoint.id)
         if record is None:
-            if chosen or self._is_named(endpoint):
+            if chosen or self._owns_row(endpoint):
                 await self._take_over(endpoint)
             return
         record.endpoint = endpoint
@@ -89,8 +89,8 @@
             self._drop(record, "lease lapsed")
             return
         if self._has_work(record):
-            record.looked_at = self._ctx.clock.monotonic()
-            await self._round(record, accepted)
+            record.checked_at = self._ctx.clock.monotonic()
+            await self._sync(record, accepted)
 
     def _has_work(self, record: EngineRecord) -> bool:
         """Tell whether a round is due: something is under way, or the last look is long ago."""
@@ -98,9 +98,9 @@
             return True
         if any(row.state is not State.HELD for row in record.ledger.reservations):
             return True
-        return self._ctx.clock.monotonic() - record.looked_at >= IDLE_SECONDS
+        return self._ctx.clock.monotonic() - record.checked_at >= IDLE_CHECK_SECONDS
 
-    def _is_named(self, endpoint: Endpoint) -> bool:
+    def _owns_row(self, endpoint: Endpoint) -> bool:
         """Tell whether the row still names this life.
 
         Failure guarded against: an outage makes a controller drop its engines, a new host is chosen
@@ -112,8 +112,8 @@
 
     def _drop(self, record: EngineRecord, why: str) -> None:
         del self.records[record.endpoint.id]
-        for sending in record.sending.values():
-            sending.task.cancel()
+        for sent_order in record.sent_orders.values():
+            sent_order.task.cancel()
         self._ctx.timeline.add("controller_left", endpoint=record.endpoint.id, detail=why)
 
     def drop_all(self, why: str) -> None:
@@ -129,7 +129,7 @@
         old = ledgers.read_ledger(row.value) if row else Ledger(endpoint.id)
         checks = {ledgers.row_key(endpoint.id): row.version if row else 0}
         if old.controller and old.controller != self._ctx.incarnation:
-            lapsed = self._lease_table.lapsed(old.controller)
+            lapsed = self._lease_table.prove_lapsed(old.controller)
             if lapsed is None:
                 return
             checks |= lapsed
@@ -147,16 +147,16 @@
         outcome = await commit_surely(self._platform, tx)
         return outcome if failed(outcome) else outcome.version
 
-    async def _round(self, record: EngineRecord, accepted: Accepted) -> None:
+    async def _sync(self, record: EngineRecord, accepted: Accepted) -> None:
         report = await self._endpoints.report(record.endpoint.url, 0)
         if failed(report):
             return
         checks = {ledgers.row_key(record.endpoint.id): record.version}
         new = ledgers.observe(record.ledger, report)
-        new = self._settle(record, new, report)
+        new = self._release_unloaded(record, new, report)
         new = self._renumber(record, new, report)
-        new, more = self._take_moves(record, new, accepted)
-        checks |= more
+        new, copy_checks = self._apply_moves(record, new, accepted)
+        checks |= copy_checks
         if new != record.ledger and not await self._save(record, new, checks):
             return
         self._send_all(record, report)
@@ -185,7 +185,7 @@
             return
         record.ledger, record.version = found, rows[key].version
 
-    def _settle(self, record: EngineRecord, ledger: Ledger, report: Report) -> Ledger:
+    def _release_unloaded(self, record: EngineRecord, ledger: Ledger, report: Report) -> Ledger:
         """Move unloaded items towards release, as far as there is evidence that they are gone.
 
         Failure guarded against: a load order sent earlier arrives after the unload, when the
@@ -198,11 +198,11 @@
             gone = row.item not in report.items
             if row.state is State.UNLOADING and gone and record.answered.get(row.item) == row.order:
                 ledger = ledgers.set_state(ledger, row.item, State.QUARANTINE)
-                record.quiet_since[row.item] = now
+                record.quarantined_since[row.item] = now
             elif row.state is State.QUARANTINE and gone:
-                since = record.quiet_since.setdefault(row.item, now)
-                bound = 0.0 if record.endpoint.fencing else self._ctx.cfg.lateness_seconds
-                if now - since >= bound:
+                since = record.quarantined_since.setdefault(row.item, now)
+                wait_seconds = 0.0 if record.endpoint.fencing else self._ctx.cfg.lateness_seconds
+                if now - since >= wait_seconds:
                     freed = ledgers.release(ledger, row.item, report)
                     ledger = ledger if failed(freed) else freed
                     self._note("released", record, row.item)
@@ -213,16 +213,16 @@
         for row in ledger.reservations:
             if row.state not in ACTIONS:
                 continue
-            there = row.item in report.items
-            undone = record.answered.get(row.item) == row.order and there == (
+            on_engine = row.item in report.items
+            ineffective = record.answered.get(row.item) == row.order and on_engine == (
                 row.state is State.UNLOADING
             )
-            if row.item in record.resend or undone or row.order == 0:
+            if row.item in record.resend or ineffective or row.order == 0:
                 ledger = ledgers.renumber(ledger, row.item, row.state)
         record.resend.clear()
         return ledger
 
-    def _take_moves(
+    def _apply_moves(
         self, record: EngineRecord, ledger: Ledger, accepted: Accepted
     ) -> tuple[Ledger, dict[str, int]]:
         """Take in the plan's moves, each only as far as the ledger allows it."""
@@ -300,28 +300,28 @@
                 return
             order = Order(row.order, action, row.item, row.bytes, row.places)
             task = asyncio.create_task(self._send(record, order))
-            record.sending[row.item] = Sending(row.order, now, task)
+            record.sent_orders[row.item] = SentOrder(row.order, now, task)
 
     def _due(self, record: EngineRecord, row: Reservation, report: Report, now: float) -> bool:
-        sending = record.sending.get(row.item)
-        if sending is None or sending.order != row.order:
+        sent_order = record.sent_orders.get(row.item)
+        if sent_order is None or sent_order.order != row.order:
             # Hosts stop routing to an item that is being unloaded as soon as they hear of it.
-            since = record.unload_since.setdefault(row.item, now)
+            since = record.draining_since.setdefault(row.item, now)
             return row.state is not State.UNLOADING or now - since >= DRAIN_SECONDS
         held = report.items.get(row.item)
         shows = held is not None if row.state is State.LOADING else False
-        return not shows and now - sending.at >= RESEND_SECONDS
+        return not shows and now - sent_order.sent_at >= RESEND_SECONDS
 
     async def _send(self, record: EngineRecord, order: Order) -> None:
         """Send one order. It was reserved before, so even a late one repeats a known fact."""
-        outcome = await self._endpoints.order(record.endpoint.url, order, ORDER_SECONDS)
+        outcome = await self._endpoints.order(record.endpoint.url, order, ORDER_TIMEOUT_SECONDS)
         label = "done" if outcome is None else outcome.kind.value
         self._ctx.metrics.orders.labels(order.action, label).inc()
         self._note(f"{order.action}_{label}", record, order.item, f"order {order.number}")
         self.on_answer()
         if outcome is None:
             record.answered[order.item] = order.number
-            record.unload_since.pop(order.item, None)
+            record.draining_since.pop(order.item, None)
         elif outcome.kind is Kind.FENCED:
             record.resend.add(order.item)
 
--- a/peridotdock/core.py
+++ b/peridotdock/core.py
@@ -48,9 +48,9 @@
         clock, cfg = self.ctx.clock, self.ctx.cfg
         began = clock.monotonic()
         self.ctx.timeline.add("leaving")
-        self.host.membership.become("leaving")
+        self.host.membership.set_state("leaving")
         await self._wait(lambda: False, began + cfg.address_seconds)
-        self.host.membership.become("gone")
+        self.host.membership.set_state("gone")
         done = await self._wait(lambda: self.entry.in_work == 0, began + cfg.stop_seconds)
         self.ctx.timeline.add("drained", detail=f"{clock.monotonic() - began:.1f} s")
         return done
--- a/peridotdock/discovery.py
+++ b/peridotdock/discovery.py
@@ -19,9 +19,9 @@
     seen: dict[str, int] = {}
     ranked = []
     for member in far:
-        turn = seen.get(member.fact.domain, 0)
-        seen[member.fact.domain] = turn + 1
-        ranked.append((turn, member))
+        rank = seen.get(member.fact.domain, 0)
+        seen[member.fact.domain] = rank + 1
+        ranked.append((rank, member))
     return near[:1] + [m for _, m in sorted(ranked, key=lambda pair: pair[0])] + near[1:]
 
 
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -47,7 +47,7 @@
 
     async def run(self, ask: Ask, caller: Caller) -> Reply | Failure:
         """Answer a request for a model or adapter, or say why not."""
-        key = self._fleet.servable(ask.wish.item)
+        key = self._fleet.find_servable(ask.wish.item)
         if key != ask.wish.item:
             ask = replace(ask, wish=replace(ask.wish, item=key))
         self._count_demand(ask)
@@ -110,9 +110,9 @@
     def _note_loss(self, ask: Ask, state: EndpointState, outcome: Failure) -> None:
         now = self._ctx.clock.monotonic()
         if outcome.kind is Kind.ENDPOINT_REFUSED:
-            state.refused(outcome, now)
+            state.note_rejection(outcome, now)
         elif outcome.kind in RETRY_KINDS:
-            state.failed_at(now)
+            state.note_failure(now)
         self._ctx.timeline.add(
             "attempt_failed",
             outcome.answer.level,
@@ -125,8 +125,8 @@
     async def _attempt(self, ask: Ask, choice: Choice, caller: Caller) -> Reply | Failure:
         state = choice.state
         now = self._ctx.clock.monotonic()
-        state.began(ask.request_id, now, ask.wish.tokens - choice.cached)
-        state.remember(ask.wish.blocks, now)
+        state.note_sent(ask.request_id, now, ask.wish.tokens - choice.cached)
+        state.add_cached_blocks(ask.wish.blocks, now)
         relay = Relay(self._ctx, self._endpoints, state, ask, caller)
         handed_on = False
         try:
@@ -151,7 +151,7 @@
             return Reply(200, (("x-request-id", ask.request_id),), body, EVENT_STREAM)
         finally:
             if not handed_on:
-                state.finished(ask.request_id, self._ctx.clock.monotonic(), False)
+                state.note_finished(ask.request_id, self._ctx.clock.monotonic(), False)
                 await relay.release()
 
     async def _open(self, ask: Ask, state: EndpointState, caller: Caller) -> Opened | Failure:
@@ -249,8 +249,8 @@
                 return checked
             self._learn(ask, choice, checked.usage)
         now = self._ctx.clock.monotonic()
-        state.succeeded()
-        state.finished(ask.request_id, now, whole=True)
+        state.note_success()
+        state.note_finished(ask.request_id, now, whole=True)
         if opened.status == 200:
             self._blocklist.note_answer(ask)
         content_type = opened.headers.get("content-type", "application/json")
@@ -260,11 +260,11 @@
     def _learn(self, ask: Ask, choice: Choice, usage: FrameUsage | None) -> None:
         """Compare what was thought to be cached with what the request found cached."""
         if usage is not None and ask.wish.blocks:
-            choice.state.learn_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
+            choice.state.learn_from_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
 
     def _note_first(self, ask: Ask, choice: Choice, began: float) -> None:
-        choice.state.filled(ask.request_id)
-        choice.state.succeeded()
+        choice.state.note_first_token(ask.request_id)
+        choice.state.note_success()
         seconds = self._ctx.clock.monotonic() - began
         label = self._ctx.metrics.item_label(ask.wish.item)
         self._ctx.metrics.first_token.labels(label).observe(seconds)
@@ -293,7 +293,7 @@
                 yield frame
         finally:
             self._ctx.metrics.tokens.inc(count)
-            state.finished(ask.request_id, self._ctx.clock.monotonic(), relay.whole)
+            state.note_finished(ask.request_id, self._ctx.clock.monotonic(), relay.whole)
             if relay.whole:
                 self._blocklist.note_answer(ask)
             self._learn(ask, choice, relay.usage)
--- a/peridotdock/drafts.py
+++ b/peridotdock/drafts.py
@@ -15,7 +15,7 @@
     item: str
     state: State
     bytes: int
-    places: tuple[int, ...]
+    accelerators: tuple[int, ...]
 
 
 @dataclass(frozen=True)
@@ -64,21 +64,21 @@
         found = self.copies.get(item, {})
         return [n for n, copy in found.items() if copy.state in states and self.engines[n].alive]
 
-    def load(self, item: Item, engine: str, places: tuple[int, ...], reason: str) -> None:
+    def load(self, item: Item, engine: str, accelerators: tuple[int, ...], reason: str) -> None:
         """Add a load to the plan."""
         self.copies.setdefault(item.key, {})[engine] = Copy(
-            item.key, State.LOADING, item.bytes, places
+            item.key, State.LOADING, item.bytes, accelerators
         )
-        for place in places:
-            self.free[engine][place] -= item.bytes
+        for index in accelerators:
+            self.free[engine][index] -= item.bytes
         self.loading += 1
-        self.moves.append(Move("load", engine, item.key, places, reason))
+        self.moves.append(Move("load", engine, item.key, accelerators, reason))
 
     def unload(self, item: str, engine: str, reason: str) -> None:
         """Add an unload to the plan; its bytes are not free before it is done."""
         copy = self.copies[item][engine]
-        self.copies[item][engine] = Copy(item, State.UNLOADING, copy.bytes, copy.places)
-        self.moves.append(Move("unload", engine, item, copy.places, reason))
+        self.copies[item][engine] = Copy(item, State.UNLOADING, copy.bytes, copy.accelerators)
+        self.moves.append(Move("unload", engine, item, copy.accelerators, reason))
 
 
 def make_draft(accepted: Accepted, engines: Iterable[EngineView]) -> Draft:
@@ -91,9 +91,9 @@
         for copy in engine.copies:
             copies.setdefault(copy.item, {})[name] = copy
             loading += engine.alive and copy.state is State.LOADING
-            for place in copy.places:
-                if place < len(free[name]):
-                    free[name][place] -= copy.bytes
+            for index in copy.accelerators:
+                if index < len(free[name]):
+                    free[name][index] -= copy.bytes
     return Draft(accepted, by_name, free, copies, loading=loading)
 
 
@@ -112,18 +112,18 @@
     return [name for name in names if draft.engines[name].alive and name not in present]
 
 
-def base_places(draft: Draft, item: Item, engine: str) -> tuple[int, ...] | None:
+def base_accelerators(draft: Draft, item: Item, engine: str) -> tuple[int, ...] | None:
     """Return the accelerators an adapter must take, which are those of its base."""
-    return draft.copies[item.base][engine].places if item.is_adapter else None
+    return draft.copies[item.base][engine].accelerators if item.is_adapter else None
 
 
-def find_places(
+def find_accelerators(
     free: Sequence[int], item: Item, wanted: tuple[int, ...] | None
 ) -> tuple[int, ...] | None:
     """Return accelerators with room: the wanted ones, or those with most free."""
     if wanted is not None:
-        return wanted if all(free[place] >= item.bytes for place in wanted) else None
-    order = sorted(range(len(free)), key=lambda place: free[place], reverse=True)[: item.span]
+        return wanted if all(free[index] >= item.bytes for index in wanted) else None
+    order = sorted(range(len(free)), key=lambda index: free[index], reverse=True)[: item.span]
     if len(order) < item.span or free[order[-1]] < item.bytes:
         return None
     return tuple(sorted(order))
@@ -134,30 +134,30 @@
 ) -> list[str] | None:
     """Return extra copies whose unloading makes room on an engine; none when room is coming."""
     free = list(draft.free[engine])
-    wanted = base_places(draft, item, engine)
-    coming = [c for copies in draft.copies.values() if (c := copies.get(engine))]
-    for copy in coming:
+    wanted = base_accelerators(draft, item, engine)
+    on_engine = [c for copies in draft.copies.values() if (c := copies.get(engine))]
+    for copy in on_engine:
         if copy.state not in COPY_STATES:
-            add_back(free, copy)
+            add_free_bytes(free, copy)
     victims: list[str] = []
-    extras = [c for c in coming if c.state is State.HELD and is_extra(draft, c.item, engine)]
+    extras = [c for c in on_engine if c.state is State.HELD and is_removable(draft, c.item, engine)]
     extras = [c for c in extras if c.item != item.base]
     for copy in sorted(extras, key=lambda c: (demand.get(c.item, 0.0), c.bytes)):
-        if find_places(free, item, wanted) is not None:
+        if find_accelerators(free, item, wanted) is not None:
             break
-        add_back(free, copy)
+        add_free_bytes(free, copy)
         victims.append(copy.item)
-    return victims if find_places(free, item, wanted) is not None else None
+    return victims if find_accelerators(free, item, wanted) is not None else None
 
 
-def add_back(free: list[int], copy: Copy) -> None:
+def add_free_bytes(free: list[int], copy: Copy) -> None:
     """Count a copy's bytes as free."""
-    for place in copy.places:
-        if place < len(free):
-            free[place] += copy.bytes
+    for index in copy.accelerators:
+        if index < len(free):
+            free[index] += copy.bytes
 
 
-def is_extra(draft: Draft, key: str, engine: str) -> bool:
+def is_removable(draft: Draft, key: str, engine: str) -> bool:
     """Tell whether a copy can go: enough others are ready, and no adapter needs it as its base."""
     item = draft.accepted.by_key.get(key)
     if item is None:
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -98,7 +98,7 @@
         if failed(caller):
             return answer_failure(caller, "")
         domain = (request.query.get("domain") or [self._ctx.cfg.domain])[0]
-        members = [m for m in self._host.membership.members().values() if m.takes_work]
+        members = [m for m in self._host.membership.members().values() if m.accepts_work]
         ttl = self._ctx.cfg.address_seconds
         body = describe_addresses(members, domain, ttl, self._ctx.rng)
         return answer_json(body | {"key_prefix": self._host.keys.prefix()})
--- a/peridotdock/board.py
+++ b/peridotdock/fact_table.py
@@ -57,12 +57,12 @@
 # Seconds for which a fact that was written for one link is sent over others as it is: the hub
 # writes to all its links within some milliseconds. Its age is understated by as much, where the
 # shortest limit that ages are held against is two seconds.
-WRITTEN_SECONDS = 0.05
+ENCODED_REUSE_SECONDS = 0.05
 Slot = tuple[str, str]
 
 
 @dataclass(frozen=True)
-class Known:
+class KnownFact:
     """An entry, its decoded body, and when this host received it (monotonic seconds)."""
 
     entry: Entry
@@ -71,15 +71,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class EncodedFact:
     """A fact as it was written for a link, and until when that may be sent."""
 
-    known: Known
+    known: KnownFact
     until: float
     raw: bytes
 
 
-class Board:
+class FactTable:
     """All facts this host knows."""
 
     def __init__(self, host: str, epoch: int, clock: Clock):
@@ -87,9 +87,9 @@
         self._epoch = epoch
         self._clock = clock
         self._version = 0
-        self._known: dict[Slot, Known] = {}
-        self._topics: dict[str, dict[str, Known]] = {topic: {} for topic in TOPICS}
-        self._written: dict[Slot, Written] = {}
+        self._known: dict[Slot, KnownFact] = {}
+        self._topics: dict[str, dict[str, KnownFact]] = {topic: {} for topic in TOPICS}
+        self._encoded: dict[Slot, EncodedFact] = {}
         self._listeners: list[Callable[[list[Slot]], None]] = []
 
     def listen(self, listener: Callable[[list[Slot]], None]) -> None:
@@ -101,14 +101,14 @@
         self._version += 1
         entry = make_entry(self.host, topic, self._epoch, self._version, fact)
         slot = (self.host, topic)
-        self._put(slot, Known(entry, fact, self._clock.monotonic()))
+        self._put(slot, KnownFact(entry, fact, self._clock.monotonic()))
         self._notify([slot])
 
     def merge(self, entries: Iterable[Entry]) -> list[Slot]:
         """Take in the entries that are newer than what is known; return their slots."""
         changed = []
         for entry in entries:
-            known = self._take(entry)
+            known = self._decode_newer(entry)
             if known is not None:
                 slot = (entry.origin, entry.topic)
                 self._put(slot, known)
@@ -117,10 +117,10 @@
             self._notify(changed)
         return changed
 
-    def _take(self, entry: Entry) -> Known | None:
+    def _decode_newer(self, entry: Entry) -> KnownFact | None:
         shape = TOPICS.get(entry.topic)
         if entry.origin == self.host:
-            self._outlive(entry)
+            self._raise_epoch(entry)
             return None
         if shape is None:
             return None
@@ -130,9 +130,9 @@
         if old is None and len(self._known) >= MAX_ORIGINS * len(TOPICS):
             return None
         fact = msgspec.convert(read_body(entry), shape)
-        return Known(entry, fact, self._clock.monotonic() - entry.age / 1000)
+        return KnownFact(entry, fact, self._clock.monotonic() - entry.age / 1000)
 
-    def _outlive(self, entry: Entry) -> None:
+    def _raise_epoch(self, entry: Entry) -> None:
         """State this host's facts anew, above those of an earlier life of the same name.
 
         Failure guarded against: the time of day of this life is behind that of the one before, as
@@ -148,7 +148,7 @@
             self._put(slot, replace(known, entry=replace(known.entry, epoch=self._epoch)))
         self._notify(own)
 
-    def _put(self, slot: Slot, known: Known) -> None:
+    def _put(self, slot: Slot, known: KnownFact) -> None:
         self._known[slot] = known
         self._topics[slot[1]][slot[0]] = known
 
@@ -156,11 +156,11 @@
         for listener in self._listeners:
             listener(slots)
 
-    def get(self, origin: str, topic: str) -> Known | None:
+    def get(self, origin: str, topic: str) -> KnownFact | None:
         """Return what is known of ``origin`` on ``topic``."""
         return self._known.get((origin, topic))
 
-    def on(self, topic: str) -> Mapping[str, Known]:
+    def by_origin(self, topic: str) -> Mapping[str, KnownFact]:
         """Return what is known on ``topic``, by origin: a view that changes with the board."""
         return MappingProxyType(self._topics[topic])
 
@@ -168,7 +168,7 @@
         """Return the slots of all facts known."""
         return list(self._known)
 
-    def written(self, slots: Iterable[Slot]) -> dict[Slot, bytes]:
+    def encode_entries(self, slots: Iterable[Slot]) -> dict[Slot, bytes]:
         """Return the entries in ``slots`` as they stand in an update, each with its age.
 
         Failure guarded against: a host dies, and a peer that missed its last heartbeat gets it from
@@ -179,14 +179,14 @@
         return {slot: self._write(slot, now) for slot in slots if slot in self._known}
 
     def _write(self, slot: Slot, now: float) -> bytes:
-        known, old = self._known[slot], self._written.get(slot)
+        known, old = self._known[slot], self._encoded.get(slot)
         if old is not None and old.known is known and now <= old.until:
             return old.raw
         raw = encode_entry(known.entry, self._age(slot, known, now))
-        self._written[slot] = Written(known, now + WRITTEN_SECONDS, raw)
+        self._encoded[slot] = EncodedFact(known, now + ENCODED_REUSE_SECONDS, raw)
         return raw
 
-    def _age(self, slot: Slot, known: Known, now: float) -> int:
+    def _age(self, slot: Slot, known: KnownFact, now: float) -> int:
         return 0 if slot[0] == self.host else max(0, int((now - known.at) * 1000))
 
     def forget(self, origin: str) -> None:
@@ -194,7 +194,7 @@
         for slot in [slot for slot in self._known if slot[0] == origin]:
             del self._known[slot]
             del self._topics[slot[1]][origin]
-            self._written.pop(slot, None)
+            self._encoded.pop(slot, None)
 
 
 def _order(entry: Entry) -> tuple[int, int]:
--- a/peridotdock/fleet.py
+++ b/peridotdock/fleet.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from peridotdock.blocklist import EndpointStart
-from peridotdock.board import Board, Slot
+from peridotdock.fact_table import FactTable, Slot
 from peridotdock.clients.endpoint import EngineLoad
 from peridotdock.clock import Clock
 from peridotdock.columns import unpack
@@ -15,27 +15,27 @@
 from peridotdock.manifest import Accepted
 from peridotdock.schema.messages import HeldFact, LedgerFact, LoadFact
 
-MOST_SENT = 4096
-TOTAL_HINTS = 100_000
-LEAST_HINTS = 64
+MAX_SENT = 4096
+MAX_HINTS = 100_000
+MIN_HINTS = 64
 STALE_SECONDS = 5.0
-PREFILL_UNIT = 16
-AGE_UNIT = 0.01
+PREFILL_UNIT_TOKENS = 16
+AGE_UNIT_SECONDS = 0.01
 TRUST_GAIN = 0.1
 HINT_SECONDS = 60.0
-HINT_LEAST = 0.5
+MIN_HINT_SECONDS = 0.5
 HINT_GROWTH = 1.1
-HINT_CUT = 0.6
+HINT_SHRINK = 0.6
 NEVER = float("-inf")
 MEAN_GAIN = 0.05
 DEFAULT_LOAD = EngineLoad(0, 0, 0, 8, 10_000.0, 20_000)
 
 
 @dataclass(frozen=True)
-class Running:
+class SentRequest:
     """One request of this host on an endpoint; ``tokens`` is the prefill it brought."""
 
-    at: float
+    sent_at: float
     tokens: int
 
 
@@ -52,91 +52,91 @@
         self.leaving = False
         self.load = DEFAULT_LOAD
         self.load_at = float("-inf")
-        self.own: dict[str, Running] = {}
-        self._unfilled: dict[str, Running] = {}
-        self._sent: deque[Running] = deque()
-        self._ended: deque[float] = deque(maxlen=MOST_SENT)
-        self.unfilled_tokens = 0
-        self.sent_tokens = 0
-        self.blocks: OrderedDict[int, float] = OrderedDict()
+        self.own_requests: dict[str, SentRequest] = {}
+        self._in_prefill: dict[str, SentRequest] = {}
+        self._sent_since_report: deque[SentRequest] = deque()
+        self._ended_since_report: deque[float] = deque(maxlen=MAX_SENT)
+        self.prefill_tokens = 0
+        self.tokens_since_report = 0
+        self.cached_blocks: OrderedDict[int, float] = OrderedDict()
         self.hint_seconds = HINT_SECONDS
-        self.hint_limit = TOTAL_HINTS
+        self.hint_limit = MAX_HINTS
         self.trust = 1.0
         self.mean_seconds = 0.3
-        self.bad_until = 0.0
-        self.bad_count = 0
-        self.rests_until = 0.0
+        self.excluded_until = 0.0
+        self.failure_count = 0
+        self.backoff_until = 0.0
 
     @property
     def start(self) -> EndpointStart:
         """Return what tells this start from others of the endpoint."""
         return EndpointStart(self.name, self.boot)
 
-    def take_load(self, load: EngineLoad, at: float) -> None:
+    def update_load(self, load: EngineLoad, at: float) -> None:
         """Take in a report that was true at ``at``; what happened up to then is in it."""
         self.load = load
         self.load_at = at
-        while self._sent and self._sent[0].at <= at:
-            self.sent_tokens -= self._sent.popleft().tokens
-        while self._ended and self._ended[0] <= at:
-            self._ended.popleft()
+        while self._sent_since_report and self._sent_since_report[0].sent_at <= at:
+            self.tokens_since_report -= self._sent_since_report.popleft().tokens
+        while self._ended_since_report and self._ended_since_report[0] <= at:
+            self._ended_since_report.popleft()
 
     @property
-    def changed_since(self) -> int:
+    def net_sent_since_report(self) -> int:
         """Return the requests this host sent since the report, less those it saw end."""
-        return len(self._sent) - len(self._ended)
+        return len(self._sent_since_report) - len(self._ended_since_report)
 
-    def began(self, request_id: str, at: float, tokens: int) -> None:
+    def note_sent(self, request_id: str, at: float, tokens: int) -> None:
         """Count a request the moment it is sent, before any report can show it."""
-        run = Running(at, tokens)
-        self.own[request_id] = run
-        self._unfilled[request_id] = run
-        self._sent.append(run)
-        self.unfilled_tokens += tokens
-        self.sent_tokens += tokens
-        if len(self._sent) > MOST_SENT:
+        run = SentRequest(at, tokens)
+        self.own_requests[request_id] = run
+        self._in_prefill[request_id] = run
+        self._sent_since_report.append(run)
+        self.prefill_tokens += tokens
+        self.tokens_since_report += tokens
+        if len(self._sent_since_report) > MAX_SENT:
             # A plain service sends no reports that would say which of these are old news.
-            self.sent_tokens -= self._sent.popleft().tokens
+            self.tokens_since_report -= self._sent_since_report.popleft().tokens
 
-    def filled(self, request_id: str) -> None:
+    def note_first_token(self, request_id: str) -> None:
         """Note that a request's first token came."""
-        run = self._unfilled.pop(request_id, None)
+        run = self._in_prefill.pop(request_id, None)
         if run is not None:
-            self.unfilled_tokens -= run.tokens
+            self.prefill_tokens -= run.tokens
 
-    def finished(self, request_id: str, now: float, whole: bool) -> None:
+    def note_finished(self, request_id: str, now: float, whole: bool) -> None:
         """Note that a request ended; whole answers teach how long one takes."""
-        self.filled(request_id)
-        run = self.own.pop(request_id, None)
+        self.note_first_token(request_id)
+        run = self.own_requests.pop(request_id, None)
         if run is None:
             return
-        self._ended.append(now)
+        self._ended_since_report.append(now)
         if whole:
-            self.mean_seconds += MEAN_GAIN * (now - run.at - self.mean_seconds)
+            self.mean_seconds += MEAN_GAIN * (now - run.sent_at - self.mean_seconds)
 
-    def remember(self, blocks: Iterable[int], now: float) -> None:
+    def add_cached_blocks(self, blocks: Iterable[int], now: float) -> None:
         """Take the blocks as cached there since ``now``."""
         for block in blocks:
-            self.blocks[block] = now
-            self.blocks.move_to_end(block)
-        while len(self.blocks) > self.hint_limit:
-            self.blocks.popitem(last=False)
+            self.cached_blocks[block] = now
+            self.cached_blocks.move_to_end(block)
+        while len(self.cached_blocks) > self.hint_limit:
+            self.cached_blocks.popitem(last=False)
 
-    def drop(self, block: int) -> None:
+    def drop_cached_block(self, block: int) -> None:
         """Take a block as no longer cached there."""
-        self.blocks.pop(block, None)
+        self.cached_blocks.pop(block, None)
 
-    def hit_blocks(self, blocks: Sequence[int], now: float) -> int:
+    def count_cached_blocks(self, blocks: Sequence[int], now: float) -> int:
         """Return how many leading blocks are thought to be cached still."""
         oldest = now - self.hint_seconds
         count = 0
         for block in blocks:
-            if self.blocks.get(block, NEVER) < oldest:
+            if self.cached_blocks.get(block, NEVER) < oldest:
                 break
             count += 1
         return count
 
-    def learn_hits(self, expected: int, found: int) -> None:
+    def learn_from_hits(self, expected: int, found: int) -> None:
         """Correct the trust in hints by what a request really hit, both in tokens.
 
         Evictions are heard of late, with gaps, or by another host. So a hint is held to last only
@@ -146,43 +146,43 @@
             return
         share = min(1.0, found / expected)
         self.trust += TRUST_GAIN * (share - self.trust)
-        factor = HINT_GROWTH if share > 0.9 else HINT_CUT if share < 0.5 else 1.0
-        self.hint_seconds = min(HINT_SECONDS, max(HINT_LEAST, self.hint_seconds * factor))
+        factor = HINT_GROWTH if share > 0.9 else HINT_SHRINK if share < 0.5 else 1.0
+        self.hint_seconds = min(HINT_SECONDS, max(MIN_HINT_SECONDS, self.hint_seconds * factor))
         if self.trust < TRUST_GAIN:
             # The picture has come apart from the engine's cache; start again from evidence.
-            self.blocks.clear()
+            self.cached_blocks.clear()
             self.trust = 0.5
 
-    def failed_at(self, now: float) -> None:
+    def note_failure(self, now: float) -> None:
         """Leave the endpoint out for a while, longer each time it fails in a row."""
-        self.bad_count = min(self.bad_count + 1, 5)
-        self.bad_until = now + 0.25 * 2**self.bad_count
+        self.failure_count = min(self.failure_count + 1, 5)
+        self.excluded_until = now + 0.25 * 2**self.failure_count
 
-    def refused(self, outcome: Failure, now: float) -> None:
+    def note_rejection(self, outcome: Failure, now: float) -> None:
         """Give the endpoint the rest that it asked for as it turned a request away."""
         if outcome.retry_after is not None:
-            self.rests_until = max(self.rests_until, now + outcome.retry_after)
+            self.backoff_until = max(self.backoff_until, now + outcome.retry_after)
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """End the series of failures."""
-        self.bad_count = 0
-        self.bad_until = 0.0
+        self.failure_count = 0
+        self.excluded_until = 0.0
 
 
 class Fleet:
     """All endpoints, with an index from item to those that can serve it."""
 
-    def __init__(self, board: Board, clock: Clock):
-        self._board = board
+    def __init__(self, board: FactTable, clock: Clock):
+        self._facts = board
         self._clock = clock
         self.states: dict[str, EndpointState] = {}
         self._by_item: dict[str, list[EndpointState]] = {}
         self._by_name: dict[str, dict[str, None]] = {}
         self._unloading: dict[str, frozenset[tuple[str, str]]] = {}
         self._leaving: dict[str, set[str]] = {}
-        board.listen(self._changed)
+        board.listen(self._on_changed)
 
-    def follow(self, accepted: Accepted) -> None:
+    def apply_manifest(self, accepted: Accepted) -> None:
         """Take the endpoints of a new manifest; those it drops get no new work."""
         old = self.states
         self.states = {}
@@ -191,10 +191,10 @@
             if state is None or state.url != row.url:
                 state = EndpointState(name, row.url, row.domain)
             state.domain = row.domain
-            state.hint_limit = max(LEAST_HINTS, TOTAL_HINTS // len(accepted.endpoints))
+            state.hint_limit = max(MIN_HINTS, MAX_HINTS // len(accepted.endpoints))
             self.states[name] = state
-        for origin, known in self._board.on("held").items():
-            self._take_held(origin, known.fact)
+        for origin, known in self._facts.by_origin("held").items():
+            self._apply_held(origin, known.fact)
         self._index()
 
     def holders(self, item: str) -> list[EndpointState]:
@@ -209,29 +209,29 @@
         state = self.states.get(start.endpoint)
         return state is None or state.down or state.start != start
 
-    def servable(self, item: str) -> str:
+    def find_servable(self, item: str) -> str:
         """Return ``item``, or another version of it while no endpoint can serve that one yet."""
         if item in self._by_item:
             return item
         return next(iter(self._by_name.get(name_of(item), ())), item)
 
-    def _changed(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         held = False
         for origin, topic in slots:
-            known = self._board.get(origin, topic)
+            known = self._facts.get(origin, topic)
             if known is None:
                 continue
             if topic == "load":
-                self._take_load(known.fact, known.at)
+                self._apply_load(known.fact, known.at)
             elif topic == "held":
-                self._take_held(origin, known.fact)
+                self._apply_held(origin, known.fact)
                 held = True
             elif topic == "ledger":
-                held = self._take_ledger(origin, known.fact) or held
+                held = self._apply_ledger(origin, known.fact) or held
         if held:
             self._index()
 
-    def _take_load(self, fact: LoadFact, at: float) -> None:
+    def _apply_load(self, fact: LoadFact, at: float) -> None:
         columns = [unpack("H", raw) for raw in (fact.running, fact.waiting, fact.prefill, fact.age)]
         limits, rates = unpack("H", fact.batch_limit), unpack("I", fact.prefill_rate)
         steps = unpack("I", fact.step_us)
@@ -240,15 +240,20 @@
             if state is None:
                 continue
             running, waiting, prefill, age = (column[place] for column in columns)
-            taken_at = at - age * AGE_UNIT
+            taken_at = at - age * AGE_UNIT_SECONDS
             if taken_at < state.load_at:
                 continue
             load = EngineLoad(
-                running, waiting, prefill * PREFILL_UNIT, limits[place], rates[place], steps[place]
+                running,
+                waiting,
+                prefill * PREFILL_UNIT_TOKENS,
+                limits[place],
+                rates[place],
+                steps[place],
             )
-            state.take_load(load, taken_at)
+            state.update_load(load, taken_at)
 
-    def _take_held(self, origin: str, fact: HeldFact) -> None:
+    def _apply_held(self, origin: str, fact: HeldFact) -> None:
         down = set(fact.down)
         for name, items in fact.held.items():
             if name in self.states:
@@ -263,7 +268,7 @@
         for name, state in self.states.items():
             state.leaving = name in leaving
 
-    def _take_ledger(self, origin: str, fact: LedgerFact) -> bool:
+    def _apply_ledger(self, origin: str, fact: LedgerFact) -> bool:
         """Note what is being unloaded: it gets no new work, though the engine still has it."""
         found = frozenset(
             (name, row.item)
--- a/peridotdock/frames.py
+++ b/peridotdock/frames.py
@@ -33,11 +33,11 @@
 MAX_ENTRIES = 4096
 # Bytes of a fact's body from which on it is deflated, and the level. The names in large ones recur,
 # and they are passed on as they are over all links. In smaller ones names hardly recur.
-DEFLATE_FROM = 512
+DEFLATE_MIN_BYTES = 512
 DEFLATE_LEVEL = 3
 # Most bytes that a body may have when it is taken up.
 MAX_BODY_BYTES = 4 * 1024 * 1024
-FRAMES: dict[str, type] = {
+FRAME_TYPES: dict[str, type] = {
     "hello": Hello,
     "update": Update,
     "ping": Ping,
@@ -102,7 +102,7 @@
 def make_entry(origin: str, topic: str, epoch: int, version: int, fact: Any) -> Entry:
     """Return a fact as it is told: a large body deflated."""
     body = cbor2.dumps(msgspec.to_builtins(fact, builtin_types=(bytes,)))
-    deflated = len(body) >= DEFLATE_FROM
+    deflated = len(body) >= DEFLATE_MIN_BYTES
     if deflated:
         body = deflate(body)
     return Entry(origin, topic, epoch, version, body, deflated=deflated)
@@ -130,7 +130,7 @@
 
 def deflate_rows(frame: Rows) -> Rows:
     """Return a frame with its large values deflated: a configuration shrinks to an eighth."""
-    large = [key for key, raw in frame.values.items() if raw and len(raw) >= DEFLATE_FROM]
+    large = [key for key, raw in frame.values.items() if raw and len(raw) >= DEFLATE_MIN_BYTES]
     values = {key: deflate(raw) if key in large else raw for key, raw in frame.values.items()}
     return replace(frame, values=values, deflated=large)
 
@@ -169,7 +169,7 @@
         return Failure(Kind.BAD_REQUEST, "a text frame")
     try:
         found = cbor2.loads(raw)
-        shape = FRAMES[found["kind"]]
+        shape = FRAME_TYPES[found["kind"]]
         frame = msgspec.convert(found, shape)
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as exc:
         return Failure(Kind.BAD_REQUEST, f"{type(exc).__name__}: {exc}")
@@ -180,11 +180,11 @@
     return frame
 
 
-def sign(key: str, nonce: bytes, host: str) -> bytes:
+def make_proof(key: str, nonce: bytes, host: str) -> bytes:
     """Return the proof that ``host`` knows the cluster key, for the other side's ``nonce``."""
     return hmac.digest(key.encode(), nonce + host.encode(), hashlib.sha256)
 
 
-def proves(key: str, nonce: bytes, hello: Hello) -> bool:
+def verify_proof(key: str, nonce: bytes, hello: Hello) -> bool:
     """Tell whether ``hello`` proves knowledge of the cluster key."""
-    return hmac.compare_digest(sign(key, nonce, hello.host), hello.proof)
+    return hmac.compare_digest(make_proof(key, nonce, hello.host), hello.proof)
--- a/peridotdock/handshake.py
+++ b/peridotdock/handshake.py
@@ -6,13 +6,13 @@
 
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.frames import Frame, decode, encode, proves, sign
+from peridotdock.frames import Frame, decode, encode, verify_proof, make_proof
 from peridotdock.schema.messages import Hello
 
 NONCE_BYTES = 16
 
 
-async def greet(ctx: Context, conn: Connection, dialled: bool) -> Hello | Failure:
+async def perform_handshake(ctx: Context, conn: Connection, dialled: bool) -> Hello | Failure:
     """Prove the cluster key to each other: nonce, nonce with proof, proof."""
     nonce = os.urandom(NONCE_BYTES)
     if not dialled:
@@ -21,10 +21,10 @@
     if not isinstance(hello, Hello):
         return _refuse(ctx, "no hello", hello)
     key, host = ctx.cfg.cluster_key, ctx.cfg.host_id
-    await conn.send(encode(_hello(ctx, nonce, sign(key, hello.nonce, host))))
+    await conn.send(encode(_hello(ctx, nonce, make_proof(key, hello.nonce, host))))
     if dialled:
         hello = decode(await conn.recv())
-    if not isinstance(hello, Hello) or not proves(key, nonce, hello):
+    if not isinstance(hello, Hello) or not verify_proof(key, nonce, hello):
         return _refuse(ctx, "proof refused", hello)
     return hello
 
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -7,7 +7,7 @@
 from peridotdock import ledger as ledgers
 from peridotdock import manifest as manifests
 from peridotdock.blocklist import Blocklist
-from peridotdock.board import Board, Slot
+from peridotdock.fact_table import FactTable, Slot
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.platform import HttpPlatform, Platform, Row
 from peridotdock.context import Context
@@ -16,7 +16,7 @@
 from peridotdock.errors import failed
 from peridotdock.fleet import Fleet
 from peridotdock.jobs import Jobs
-from peridotdock.keeping import KEEP_SECONDS, BlocklistKeeper
+from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.keys import KeyTable
 from peridotdock.leases import KEY_PREFIX as LEASE_PREFIX
 from peridotdock.leases import HostLease, LeaseTable
@@ -31,10 +31,10 @@
 from peridotdock.service_calls import ServiceCaller
 from peridotdock.watch import Watcher
 
-LIST_SECONDS = 2.0
+HOST_LIST_SECONDS = 2.0
 DEMAND_SECONDS = 1.0
-LEASE_PARTS = 3
-SCAN_PERIODS = 3
+RENEWALS_PER_LEASE = 3
+POLLS_PER_SCAN = 3
 
 
 class Host:
@@ -45,24 +45,24 @@
         self.ctx = ctx
         self.platform = platform or HttpPlatform(cfg.platform_url)
         self.endpoints = HttpEndpoints()
-        self.board = Board(cfg.host_id, ctx.epoch, clock)
-        self.mesh = Mesh(ctx, self.board, self._give_body)
+        self.facts = FactTable(cfg.host_id, ctx.epoch, clock)
+        self.mesh = Mesh(ctx, self.facts, self._find_body)
         own = HostFact(cfg.host_id, ctx.incarnation, cfg.domain, "", "", "starting", 0)
-        self.membership = Membership(self.board, own, clock)
-        self.fleet = Fleet(self.board, clock)
-        self.blocklist = Blocklist(ctx, self.board, self.fleet.has_ended, self._tries)
+        self.membership = Membership(self.facts, own, clock)
+        self.fleet = Fleet(self.facts, clock)
+        self.blocklist = Blocklist(ctx, self.facts, self.fleet.has_ended, self._runs_trials)
         self.dispatcher = Dispatcher(ctx, self.fleet, self.endpoints, self.blocklist)
         self.service_caller = ServiceCaller(ctx, self.fleet, self.endpoints, self.dispatcher.budget)
         self.keys = KeyTable(ctx.incarnation, clock, cfg.max_keys)
-        self.limits = CallerLimits(cfg.host_id, self.membership.when_beat)
+        self.limits = CallerLimits(cfg.host_id, self.membership.beat_time)
         self.lease = HostLease(cfg.host_id, ctx.incarnation, cfg.lease_seconds, clock)
         self.lease_table = LeaseTable(cfg.lease_seconds, clock)
         self.controller = Controller(
             ctx, self.platform, self.endpoints, self.lease, self.lease_table
         )
         self.planner = Planner(ctx, self.platform, self.lease, self.lease_table)
-        self.keeper = BlocklistKeeper(ctx, self.platform, self._plans, self.blocklist)
-        self.watcher = Watcher(ctx, self.board, self.endpoints, self.fleet)
+        self.blocklist_store = BlocklistStore(ctx, self.platform, self._is_planner, self.blocklist)
+        self.watcher = Watcher(ctx, self.facts, self.endpoints, self.fleet)
         self.accepted: Accepted | None = None
         self.jobs = Jobs(ctx)
         self._wanted_head: HeadsFact | None = None
@@ -72,27 +72,32 @@
         self._registered_leaving: bool | None = None
         self._controlled = Assignment(cfg.host_id)
         self._planning = Assignment(cfg.host_id)
-        self._nudge = asyncio.Event()
-        self._keep_due = asyncio.Event()
-        self.blocklist.on_blocked = self._keep_due.set
-        self.controller.on_answer = self._nudge.set
-        self.board.listen(self._changed)
+        self._poll_due = asyncio.Event()
+        self._blocklist_store_due = asyncio.Event()
+        self.blocklist.on_blocked = self._blocklist_store_due.set
+        self.controller.on_answer = self._poll_due.set
+        self.facts.listen(self._changed)
 
     async def start(self, entry_address: str) -> None:
         """Open the mesh and begin the repeated work."""
         await self.mesh.start()
         addresses = {"entry": entry_address, "peer": self.mesh.address}
         self.membership.own = HostFact(**{**vars(self.membership.own), **addresses})
-        self.membership.become("starting")
+        self.membership.set_state("starting")
         cfg, every = self.ctx.cfg, self.jobs.every
         every(self.membership.beat_seconds, self._beat, "beat")
-        every(lambda: LIST_SECONDS, self._follow_hosts, "hosts")
-        every(lambda: cfg.lease_seconds / LEASE_PARTS, self._renew, "lease")
-        every(lambda: cfg.poll_seconds, self._poll, "poll", self._nudge)
+        every(lambda: HOST_LIST_SECONDS, self._refresh_hosts, "hosts")
+        every(lambda: cfg.lease_seconds / RENEWALS_PER_LEASE, self._renew, "lease")
+        every(lambda: cfg.poll_seconds, self._poll, "poll", self._poll_due)
         every(lambda: cfg.watch_seconds, self._watch, "watch")
-        every(lambda: DEMAND_SECONDS, self._share_demand, "demand")
-        every(lambda: cfg.watch_seconds, self._tell_ends, "ends")
-        every(lambda: KEEP_SECONDS, self.keeper.step, "block list", self._keep_due)
+        every(lambda: DEMAND_SECONDS, self._publish_demand, "demand")
+        every(lambda: cfg.watch_seconds, self._publish_ends, "ends")
+        every(
+            lambda: CHECK_SECONDS,
+            self.blocklist_store.step,
+            "block list",
+            self._blocklist_store_due,
+        )
         every(lambda: claims.SWEEP_SECONDS, self._sweep_claims, "claims")
 
     async def stop(self) -> None:
@@ -101,9 +106,9 @@
         for task in self._tasks:
             task.cancel()
         self.controller.drop_all("host stops")
-        self.membership.become("gone")
+        self.membership.set_state("gone")
         await self.ctx.clock.sleep(0.05)
-        await self.lease.give_up(self.platform)
+        await self.lease.release(self.platform)
         await self._register()
         await self.mesh.stop()
         await self.endpoints.close()
@@ -120,7 +125,7 @@
         self.membership.beat()
         self.membership.sweep()
 
-    async def _follow_hosts(self) -> None:
+    async def _refresh_hosts(self) -> None:
         cfg = self.ctx.cfg
         members = self.membership.members()
         # Silent hosts too: two hosts that lost each other for longer than it takes to call one
@@ -158,24 +163,24 @@
 
     # Manifest
 
-    def _give_body(self, digest: str) -> bytes:
+    def _find_body(self, digest: str) -> bytes:
         if self.accepted is None or self.accepted.digest != digest:
             return b""
         return manifests.canonical(self.accepted.document)
 
     def _changed(self, slots: list[Slot]) -> None:
         for origin, topic in slots:
-            known = self.board.get(origin, topic)
+            known = self.facts.get(origin, topic)
             if known is None or origin == self.ctx.cfg.host_id:
                 continue
             if topic == "heads":
-                self.want(known.fact)
+                self.on_head(known.fact)
                 if known.fact.plan > self.planner.generation:
-                    self._nudge.set()
+                    self._poll_due.set()
             elif topic == "ledger" and self.planner.holder == self.ctx.incarnation:
-                self._nudge.set()
+                self._poll_due.set()
 
-    def want(self, head: HeadsFact) -> None:
+    def on_head(self, head: HeadsFact) -> None:
         """Take note of a head; a generation that is not newer is passed over, whoever tells it."""
         newest = max(
             self.accepted.generation if self.accepted else 0,
@@ -210,12 +215,12 @@
         if self.accepted is not None and accepted.generation <= self.accepted.generation:
             return
         self.accepted = accepted
-        self.fleet.follow(accepted)
+        self.fleet.apply_manifest(accepted)
         self.service_caller.services = {
             name: frozenset(row.endpoints) for name, row in accepted.services.items()
         }
         if self.membership.own.state == "starting":
-            self.membership.become("live")
+            self.membership.set_state("live")
         self.ctx.metrics.generation.set(accepted.generation)
         self._publish_heads()
         detail = f"generation {accepted.generation} {accepted.manifest.release}"
@@ -225,9 +230,9 @@
         if self.accepted is None:
             return
         fact = HeadsFact(self.accepted.generation, self.accepted.digest, self.planner.generation)
-        known = self.board.get(self.ctx.cfg.host_id, "heads")
+        known = self.facts.get(self.ctx.cfg.host_id, "heads")
         if known is None or known.fact != fact:
-            self.board.publish("heads", fact)
+            self.facts.publish("heads", fact)
 
     # Roles
 
@@ -238,7 +243,7 @@
             return
         self.controller.moves = self.planner.moves_by_endpoint()
         live = self.membership.live()
-        await self._tend_all(live)
+        await self._reconcile_all(live)
         await self._plan(live)
         self._publish_heads()
 
@@ -248,12 +253,14 @@
             return
         if HEAD_KEY in rows:
             head = rows[HEAD_KEY].value
-            self.want(HeadsFact(head["generation"], head["digest"]))
+            self.on_head(HeadsFact(head["generation"], head["digest"]))
         self.planner.read_row(rows.get(PLAN_KEY))
         leases = await self.platform.scan(LEASE_PREFIX)
         if not failed(leases):
             self.lease_table.update(leases)
-            self.limits.hosts = max(1, self.lease_table.hosts(), len(self.board.on("host")))
+            self.limits.hosts = max(
+                1, self.lease_table.count_valid(), len(self.facts.by_origin("host"))
+            )
         ledger_rows = await self._read_ledgers()
         if ledger_rows is not None:
             self.controller.read_rows(ledger_rows)
@@ -262,79 +269,81 @@
         """Read the ledger rows: all of them where a plan is made or copies are to be proved."""
         self._polls += 1
         planning = self.planner.holder in ("", self.ctx.incarnation)
-        if not (planning or self.controller.moves or self._polls % SCAN_PERIODS == 1):
+        if not (planning or self.controller.moves or self._polls % POLLS_PER_SCAN == 1):
             return None
         rows = await self.platform.scan(ledgers.KEY_PREFIX)
         return None if failed(rows) else rows
 
-    async def _tend_all(self, live: list[str]) -> None:
+    async def _reconcile_all(self, live: list[str]) -> None:
         accepted = self.accepted
         host = self.ctx.cfg.host_id
         for name in set(self.controller.records) - set(accepted.engines):
             del self.controller.records[name]
-        tend = partial(self.controller.tend, accepted=accepted)
-        mine = self._controlled.mine((f"controller|{name}" for name in accepted.engines), live)
-        rounds = [
-            tend(row, chosen=f"controller|{name}" in mine) for name, row in accepted.engines.items()
+        reconcile = partial(self.controller.reconcile, accepted=accepted)
+        own = self._controlled.own_keys((f"controller|{name}" for name in accepted.engines), live)
+        reconciliations = [
+            reconcile(row, chosen=f"controller|{name}" in own)
+            for name, row in accepted.engines.items()
         ]
-        await asyncio.gather(*rounds)
+        await asyncio.gather(*reconciliations)
         rows = {
             name: [
-                Reserved(r.item, r.state, r.bytes, list(r.places)) for r in w.ledger.reservations
+                Reserved(r.item, r.state, r.bytes, list(r.places))
+                for r in record.ledger.reservations
             ]
-            for name, w in self.controller.records.items()
+            for name, record in self.controller.records.items()
         }
-        known = self.board.get(host, "ledger")
+        known = self.facts.get(host, "ledger")
         if known is None or known.fact.rows != rows:
-            self.board.publish("ledger", LedgerFact(rows))
-            self._nudge.set()
+            self.facts.publish("ledger", LedgerFact(rows))
+            self._poll_due.set()
 
     async def _plan(self, live: list[str]) -> None:
-        chosen = bool(self._planning.mine(("planner",), live))
+        chosen = bool(self._planning.own_keys(("planner",), live))
         if not chosen and self.planner.holder != self.ctx.incarnation:
             return
         down = {name for name, state in self.fleet.states.items() if state.down or state.leaving}
         demand: dict[str, float] = {}
-        for known in self.board.on("demand").values():
+        for known in self.facts.by_origin("demand").values():
             for item, rate in known.fact.rates.items():
                 demand[item] = demand.get(item, 0.0) + rate
-        await self.planner.work(self.accepted, self.controller.rows, down, demand, chosen)
+        await self.planner.update_plan(self.accepted, self.controller.rows, down, demand, chosen)
 
-    def _tries(self) -> bool:
+    def _runs_trials(self) -> bool:
         """Tell whether this host is the one to try what may be blocked for nothing."""
         return self.membership.live()[:1] == [self.ctx.cfg.host_id]
 
-    def _plans(self) -> bool:
+    def _is_planner(self) -> bool:
         """Tell whether this host is the planner, and may write for all."""
         return self.planner.holder == self.ctx.incarnation and self.lease.valid()
 
-    async def _tell_ends(self) -> None:
-        self.blocklist.tell()
+    async def _publish_ends(self) -> None:
+        self.blocklist.publish_changes()
 
     async def _sweep_claims(self) -> None:
-        if self._plans():
+        if self._is_planner():
             await claims.sweep(self.platform, self.ctx.clock.now().timestamp())
 
     async def _watch(self) -> None:
         if self.accepted is not None:
-            await self.watcher.round(self.accepted, self.membership.live())
+            await self.watcher.read_all(self.accepted, self.membership.live())
 
-    async def _share_demand(self) -> None:
+    async def _publish_demand(self) -> None:
         """Tell the others what was asked of this host, and lend what it does not need."""
         now = self.ctx.clock.monotonic()
         others = {}
         members = self.membership.members()
-        for origin, known in self.board.on("demand").items():
+        for origin, known in self.facts.by_origin("demand").items():
             if origin == self.ctx.cfg.host_id:
                 continue
             self.limits.borrow(origin, known.fact.loans)
-            beat = self.board.get(origin, "host")
+            beat = self.facts.get(origin, "host")
             if beat is not None and origin in members and members[origin].alive:
                 others[origin] = (beat.fact.beat, beat.at, known.fact.usage)
         rows = self.accepted.manifest.callers if self.accepted else []
         limits = {row.id: row.requests_per_second for row in rows}
         loans = self.limits.lend(limits, others, now)
         fact = DemandFact(self.dispatcher.demand.rates(now), self.limits.usage.rates(now), loans)
-        known = self.board.get(self.ctx.cfg.host_id, "demand")
+        known = self.facts.get(self.ctx.cfg.host_id, "demand")
         if known is None or known.fact != fact:
-            self.board.publish("demand", fact)
+            self.facts.publish("demand", fact)
--- a/peridotdock/leases.py
+++ b/peridotdock/leases.py
@@ -13,16 +13,16 @@
 
 KEY_PREFIX = "hosts/"
 LAPSE_FACTOR = 1.5
-GONE = 0
+NO_ROW_VERSION = 0
 
 
 @dataclass(frozen=True)
-class Sighting:
+class SeenLease:
     """A version of a lease row and when it was first seen here (monotonic seconds)."""
 
     incarnation: str
     version: int
-    at: float
+    first_seen_at: float
 
 
 class HostLease:
@@ -48,7 +48,7 @@
             if failed(rows):
                 return rows
             row = rows.get(KEY_PREFIX + self._host)
-            self._version = row.version if row else GONE
+            self._version = row.version if row else NO_ROW_VERSION
         key = KEY_PREFIX + self._host
         value = {"incarnation": self._incarnation, "renewed": began}
         outcome = await commit_surely(platform, Transaction({key: self._version}, {key: value}))
@@ -59,7 +59,7 @@
         self._until = began + self._seconds
         return None
 
-    async def give_up(self, platform: Platform) -> Failure | None:
+    async def release(self, platform: Platform) -> Failure | None:
         """End the lease, so that others need not wait for it to lapse."""
         self._until = float("-inf")
         if self._version is None:
@@ -76,7 +76,7 @@
     def __init__(self, seconds: float, clock: Clock):
         self._lapse = seconds * LAPSE_FACTOR
         self._clock = clock
-        self._seen: dict[str, Sighting] = {}
+        self._seen: dict[str, SeenLease] = {}
         self.loaded = False
 
     def update(self, rows: dict[str, Row]) -> None:
@@ -86,16 +86,16 @@
         for key, row in rows.items():
             old = self._seen.get(key)
             same = old is not None and old.version == row.version
-            seen[key] = old if same else Sighting(row.value["incarnation"], row.version, now)
+            seen[key] = old if same else SeenLease(row.value["incarnation"], row.version, now)
         self._seen = seen
         self.loaded = True
 
-    def hosts(self) -> int:
+    def count_valid(self) -> int:
         """Return how many leases have not lapsed."""
         now = self._clock.monotonic()
-        return sum(1 for sight in self._seen.values() if now - sight.at <= self._lapse)
+        return sum(1 for lease in self._seen.values() if now - lease.first_seen_at <= self._lapse)
 
-    def lapsed(self, incarnation: str) -> dict[str, int] | None:
+    def prove_lapsed(self, incarnation: str) -> dict[str, int] | None:
         """Return the check that proves a life's lease lapsed, or None while it has not.
 
         The check goes into the transaction that takes over. Failure guarded against: the holder
@@ -105,11 +105,11 @@
         if not self.loaded:
             return None
         now = self._clock.monotonic()
-        for key, sight in self._seen.items():
-            if sight.incarnation != incarnation:
+        for key, lease in self._seen.items():
+            if lease.incarnation != incarnation:
                 continue
-            return {key: sight.version} if now - sight.at > self._lapse else None
+            return {key: lease.version} if now - lease.first_seen_at > self._lapse else None
         host = incarnation.rsplit("-", 1)[0]
-        sight = self._seen.get(KEY_PREFIX + host)
+        lease = self._seen.get(KEY_PREFIX + host)
         # A row of another life of the same host, or no row at all: this life is over.
-        return {KEY_PREFIX + host: sight.version} if sight else {KEY_PREFIX + host: GONE}
+        return {KEY_PREFIX + host: lease.version} if lease else {KEY_PREFIX + host: NO_ROW_VERSION}
--- a/peridotdock/ledger.py
+++ b/peridotdock/ledger.py
@@ -27,7 +27,7 @@
     QUARANTINE = "quarantine"
 
 
-class Sight(StrEnum):
+class Presence(StrEnum):
     """What a fresh report of the engine shows of an item."""
 
     READY = "ready"
@@ -38,22 +38,22 @@
 # An engine's own list is believed over the ledger, but bytes are freed by no single sight:
 # UNLOADING ends in QUARANTINE, and only :func:`release` ends that. An item that comes back in
 # quarantine was loaded by a late order; it is unloaded again.
-SEEN: dict[tuple[State, Sight], State] = {
-    (State.LOADING, Sight.READY): State.HELD,
-    (State.LOADING, Sight.PARTIAL): State.LOADING,
-    (State.LOADING, Sight.GONE): State.LOADING,
-    (State.HELD, Sight.READY): State.HELD,
-    (State.HELD, Sight.PARTIAL): State.LOADING,
-    (State.HELD, Sight.GONE): State.LOADING,
-    (State.UNLOADING, Sight.READY): State.UNLOADING,
-    (State.UNLOADING, Sight.PARTIAL): State.UNLOADING,
-    (State.UNLOADING, Sight.GONE): State.UNLOADING,
-    (State.QUARANTINE, Sight.READY): State.UNLOADING,
-    (State.QUARANTINE, Sight.PARTIAL): State.UNLOADING,
-    (State.QUARANTINE, Sight.GONE): State.QUARANTINE,
+TRANSITIONS: dict[tuple[State, Presence], State] = {
+    (State.LOADING, Presence.READY): State.HELD,
+    (State.LOADING, Presence.PARTIAL): State.LOADING,
+    (State.LOADING, Presence.GONE): State.LOADING,
+    (State.HELD, Presence.READY): State.HELD,
+    (State.HELD, Presence.PARTIAL): State.LOADING,
+    (State.HELD, Presence.GONE): State.LOADING,
+    (State.UNLOADING, Presence.READY): State.UNLOADING,
+    (State.UNLOADING, Presence.PARTIAL): State.UNLOADING,
+    (State.UNLOADING, Presence.GONE): State.UNLOADING,
+    (State.QUARANTINE, Presence.READY): State.UNLOADING,
+    (State.QUARANTINE, Presence.PARTIAL): State.UNLOADING,
+    (State.QUARANTINE, Presence.GONE): State.QUARANTINE,
 }
 # What the engine already answered is undone: only an order with a new number is carried out.
-NEW_ORDERS = frozenset({(State.HELD, State.LOADING), (State.QUARANTINE, State.UNLOADING)})
+NEEDS_NEW_ORDER = frozenset({(State.HELD, State.LOADING), (State.QUARANTINE, State.UNLOADING)})
 COPY_STATES = frozenset({State.LOADING, State.HELD})
 
 
@@ -87,9 +87,9 @@
         """Return the bytes charged on each of ``count`` accelerators."""
         used = [0] * count
         for row in self.reservations:
-            for place in row.places:
-                if place < count:
-                    used[place] += row.bytes
+            for index in row.places:
+                if index < count:
+                    used[index] += row.bytes
         return used
 
     def to_value(self) -> dict[str, Any]:
@@ -125,9 +125,9 @@
     if not places or len(set(places)) != len(places):
         return Failure(Kind.NO_ROOM, "no accelerators named")
     used = ledger.used(len(capacity))
-    for place in places:
-        if place >= len(capacity) or used[place] + size > capacity[place]:
-            return Failure(Kind.NO_ROOM, f"{item}: accelerator {place} of {ledger.endpoint}")
+    for index in places:
+        if index >= len(capacity) or used[index] + size > capacity[index]:
+            return Failure(Kind.NO_ROOM, f"{item}: accelerator {index} of {ledger.endpoint}")
     order = ledger.order + 1
     row = Reservation(item, State.LOADING, size, tuple(places), order)
     return replace(ledger, order=order, reservations=(*ledger.reservations, row))
@@ -151,12 +151,12 @@
     return replace(ledger, order=order, reservations=rows)
 
 
-def sight_of(report: Report, item: str) -> Sight:
+def presence_of(report: Report, item: str) -> Presence:
     """Return what a report shows of an item."""
     held = report.items.get(item)
     if held is None:
-        return Sight.GONE
-    return Sight.READY if held.ready else Sight.PARTIAL
+        return Presence.GONE
+    return Presence.READY if held.ready else Presence.PARTIAL
 
 
 def observe(ledger: Ledger, report: Report) -> Ledger:
@@ -166,8 +166,8 @@
     whether it stays. A new boot of the engine has forgotten its fence.
     """
     for row in ledger.reservations:
-        state = SEEN[(row.state, sight_of(report, row.item))]
-        if (row.state, state) in NEW_ORDERS:
+        state = TRANSITIONS[(row.state, presence_of(report, row.item))]
+        if (row.state, state) in NEEDS_NEW_ORDER:
             ledger = renumber(ledger, row.item, state)
         elif state is not row.state:
             ledger = set_state(ledger, row.item, state)
--- a/peridotdock/manifest.py
+++ b/peridotdock/manifest.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Checked:
+class CheckResult:
     """Outcome of a check: a manifest, or every error in it."""
 
     manifest: Manifest | None
@@ -36,25 +36,25 @@
     return hashlib.sha256(canonical(document)).hexdigest()
 
 
-def check(raw: bytes) -> Checked:
+def check(raw: bytes) -> CheckResult:
     """Check the bytes of a manifest against the schema, then its references and its floor."""
     if len(raw) > MAX_BYTES:
-        return Checked(None, {}, (f"$: larger than {MAX_BYTES} bytes",))
+        return CheckResult(None, {}, (f"$: larger than {MAX_BYTES} bytes",))
     try:
         document = json.loads(raw)
     except (ValueError, RecursionError) as exc:
-        return Checked(None, {}, (f"$: not JSON: {exc}",))
+        return CheckResult(None, {}, (f"$: not JSON: {exc}",))
     errors = list_errors(load_schema("manifest"), document)
     if errors:
-        return Checked(None, {}, tuple(errors))
+        return CheckResult(None, {}, tuple(errors))
     manifest = msgspec.convert(document, Manifest)
-    errors = [*find_repeats(manifest), *find_dangling(manifest)]
+    errors = [*find_duplicates(manifest), *find_dangling_references(manifest)]
     if errors:
-        return Checked(None, document, tuple(errors))
-    return Checked(manifest, document)
+        return CheckResult(None, document, tuple(errors))
+    return CheckResult(manifest, document)
 
 
-def find_repeats(manifest: Manifest) -> list[str]:
+def find_duplicates(manifest: Manifest) -> list[str]:
     """Return an error for each name that stands twice where it must be unique."""
     names = {section: [row.id for row in getattr(manifest, section)] for section in SECTIONS}
     names["models and adapters"] = names.pop("models") + names.pop("adapters")
@@ -67,7 +67,7 @@
     ]
 
 
-def find_dangling(manifest: Manifest) -> list[str]:
+def find_dangling_references(manifest: Manifest) -> list[str]:
     """Return an error for each reference to something that is not there."""
     models = {row.id for row in manifest.models}
     kinds = {row.id: row.kind for row in manifest.endpoints}
--- a/peridotdock/mesh.py
+++ b/peridotdock/mesh.py
@@ -14,7 +14,7 @@
 from websockets.asyncio.server import Server, serve
 from websockets.exceptions import WebSocketException
 
-from peridotdock.board import TOPICS, Board, Slot
+from peridotdock.fact_table import TOPICS, FactTable, Slot
 from peridotdock.context import Context
 from peridotdock.errors import Failure, failed
 from peridotdock.frames import (
@@ -24,8 +24,8 @@
     encode,
     encode_update,
 )
-from peridotdock.handshake import greet
-from peridotdock.links import Link, LinkSender, WaitingRows
+from peridotdock.handshake import perform_handshake
+from peridotdock.links import Link, LinkSender, QueuedRows
 from peridotdock.rendezvous import neighbours
 from peridotdock.schema.messages import (
     Body,
@@ -45,19 +45,19 @@
     Update,
 )
 
-DIAL_SECONDS = 0.5
+REDIAL_SECONDS = 0.5
 HANDSHAKE_SECONDS = 3.0
 FLUSH_SECONDS = 0.02
 # Links a host writes to in a second: with more of them, each waits longer and takes more facts at
 # once.
 FLUSHES_PER_SECOND = 400.0
 # Seconds that a link is kept although another one is wanted: some turns of writing.
-LINGER_SECONDS = 1.5
+MIN_LINK_SECONDS = 1.5
 # Seconds for which another host is preferred to one whose link was lost or could not be had.
-FAILED_SECONDS = 3.0
+FAILED_LINK_SECONDS = 3.0
 FETCH_SECONDS = 3.0
 # Frames with rows of the store that wait on one link; who misses some reads the store itself.
-MOST_ROWS = 50
+MAX_QUEUED_ROWS = 50
 MAX_LINKS = 400
 ENTRIES_PER_FRAME = 1000
 GrantFrame = GrantWanted | Grant | GrantDropped
@@ -78,18 +78,20 @@
     def __init__(
         self,
         ctx: Context,
-        board: Board,
-        give_body: Callable[[str], bytes],
+        facts: FactTable,
+        find_body: Callable[[str], bytes],
         choose: Callable[[dict[str, str]], list[str]] | None = None,
-        audience: Callable[[Slot, Collection[Link]], Iterable[Link]] = lambda slot, links: links,
+        select_links: Callable[
+            [Slot, Collection[Link]], Iterable[Link]
+        ] = lambda slot, links: links,
     ):
         self._ctx = ctx
         self._choose = choose or self._choose_neighbours
-        self._audience = audience
-        self._board = board
-        self._give_body = give_body
+        self._select_links = select_links
+        self._facts = facts
+        self._find_body = find_body
         self.on_rows: Callable[[Rows], bool] = lambda frame: False
-        self.on_wanted: Callable[[RowsWanted], Rows | None] = lambda frame: None
+        self.on_rows_wanted: Callable[[RowsWanted], Rows | None] = lambda frame: None
         self.on_grant: Callable[[str, GrantFrame], None] = lambda host, frame: None
         self.on_quota: Callable[[str, QuotaFrame], None] = lambda host, frame: None
         self.on_permit: Callable[[str, PermitFrame], None] = lambda host, frame: None
@@ -99,13 +101,13 @@
         self._fact_bytes = {topic: ctx.metrics.fact_bytes.labels(topic) for topic in TOPICS}
         self._sender = LinkSender(ctx)
         self._failed_at: dict[str, float] = {}
-        self._last_heard: dict[str, float] = {}
+        self._last_received: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._wanted: dict[str, asyncio.Future[bytes]] = {}
+        self._body_waiters: dict[str, asyncio.Future[bytes]] = {}
         self._server: Server | None = None
         self._stopping = False
         self.address = ""
-        board.listen(self._mark)
+        facts.listen(self._on_changed)
 
     async def start(self) -> None:
         """Begin to accept links."""
@@ -135,9 +137,9 @@
         """Return the names of the hosts at the other ends of the links."""
         return {link.peer.host for link in self._links}
 
-    def last_heard(self, host: str) -> float:
+    def last_received(self, host: str) -> float:
         """Return when the last word came over the last link to a host that has ended."""
-        return self._last_heard.get(host, float("-inf"))
+        return self._last_received.get(host, float("-inf"))
 
     def connect_to(self, addresses: dict[str, str]) -> None:
         """Dial those among ``addresses`` (IP:PORT by host) that are wanted and have no link yet."""
@@ -154,7 +156,7 @@
 
         A new link is left for a while: what each end knows of other hosts goes over it first.
         """
-        until = self._ctx.clock.monotonic() - LINGER_SECONDS
+        until = self._ctx.clock.monotonic() - MIN_LINK_SECONDS
         for link in self._links:
             if link.dialled and link.peer.host != host and link.up_at < until:
                 link.released = True
@@ -162,7 +164,7 @@
 
     def failed_hosts(self) -> set[str]:
         """Return the hosts and addresses to which a link was lost or not had a moment ago."""
-        oldest = self._ctx.clock.monotonic() - FAILED_SECONDS
+        oldest = self._ctx.clock.monotonic() - FAILED_LINK_SECONDS
         self._failed_at = {name: at for name, at in self._failed_at.items() if at > oldest}
         return {*self._failed_at}
 
@@ -193,14 +195,14 @@
                 f"ws://{address}", open_timeout=HANDSHAKE_SECONDS, proxy=None, **LINK_OPTIONS
             ) as conn:
                 peer = await asyncio.wait_for(
-                    greet(self._ctx, conn, dialled=True), HANDSHAKE_SECONDS
+                    perform_handshake(self._ctx, conn, dialled=True), HANDSHAKE_SECONDS
                 )
                 self._dialling.discard(address)
                 if await self._run(conn, peer, dialled=True, address=address):
                     self._failed_at[name] = self._ctx.clock.monotonic()
         except (OSError, WebSocketException, TimeoutError):
             self._failed_at[name] = self._ctx.clock.monotonic()
-            await self._ctx.clock.sleep(DIAL_SECONDS)
+            await self._ctx.clock.sleep(REDIAL_SECONDS)
         finally:
             self._dialling.discard(address)
 
@@ -214,7 +216,9 @@
             return
 
     async def _greet(self, conn: Connection, dialled: bool) -> Hello | Failure:
-        return await asyncio.wait_for(greet(self._ctx, conn, dialled), HANDSHAKE_SECONDS)
+        return await asyncio.wait_for(
+            perform_handshake(self._ctx, conn, dialled), HANDSHAKE_SECONDS
+        )
 
     async def _run(
         self, conn: Connection, peer: Hello | Failure, dialled: bool, address: str = ""
@@ -224,19 +228,19 @@
             await conn.close(1008)
             return True
         link = Link(conn, peer, dialled, address)
-        link.direct = self._linked_to(peer.host)
-        link.heard_at = link.up_at = self._ctx.clock.monotonic()
+        link.direct = self._peers_of(peer.host)
+        link.received_at = link.up_at = self._ctx.clock.monotonic()
         self._links.add(link)
-        self._tell_links()
+        self._publish_links()
         self._ctx.timeline.add("link_up", "DEBUG", detail=peer.host)
-        self._offer(link, self._board.slots())
-        jobs = [asyncio.create_task(job(link)) for job in (self._write, self._sender.beat)]
+        self._mark_dirty(link, self._facts.slots())
+        jobs = [asyncio.create_task(job(link)) for job in (self._write, self._sender.run_heartbeat)]
         try:
             await self._read(link)
         finally:
             self._links.discard(link)
-            self._last_heard[peer.host] = link.heard_at
-            self._tell_links()
+            self._last_received[peer.host] = link.received_at
+            self._publish_links()
             for job in jobs:
                 job.cancel()
             conn.transport.abort()
@@ -252,10 +256,10 @@
                     "bad_frame", "WARNING", detail=f"{link.peer.host}: {frame.reason}"
                 )
                 return
-            link.heard_at = self._ctx.clock.monotonic()
-            await self._take(link, frame)
+            link.received_at = self._ctx.clock.monotonic()
+            await self._handle(link, frame)
 
-    async def _take(self, link: Link, frame: Frame) -> None:
+    async def _handle(self, link: Link, frame: Frame) -> None:
         if isinstance(frame, Update):
             self._ctx.timeline.clock.witness(frame.stamp)
             for slot in self._merge(link, frame):
@@ -264,7 +268,7 @@
             if self.on_rows(frame) and not frame.direct:
                 self.send_rows(frame, link)
         elif isinstance(frame, RowsWanted):
-            found = self.on_wanted(frame)
+            found = self.on_rows_wanted(frame)
             if found is not None:
                 await self._sender.send(link, found)
         elif isinstance(frame, GRANT_FRAMES):
@@ -276,10 +280,10 @@
         elif isinstance(frame, Ping):
             self._ctx.timeline.clock.witness(frame.stamp)
         elif isinstance(frame, Fetch):
-            body = self._give_body(frame.digest)
+            body = self._find_body(frame.digest)
             await self._sender.send(link, Body("body", frame.digest, body))
         elif isinstance(frame, Body):
-            waiter = self._wanted.get(frame.digest)
+            waiter = self._body_waiters.get(frame.digest)
             if waiter is not None and frame.body and not waiter.done():
                 waiter.set_result(frame.body)
 
@@ -289,18 +293,18 @@
         if not links:
             return False
         link = max(links, key=lambda link: link.up_at)
-        self._spawn(self._sender.push(link, encode(frame)))
+        self._spawn(self._sender.send_raw(link, encode(frame)))
         return True
 
     def send_rows(self, frame: Rows, source: Link | None = None) -> None:
         """Pass rows of the store on over all links but the one they came from."""
-        waiting = WaitingRows(frame, self._ctx.clock.monotonic())
+        waiting = QueuedRows(frame, self._ctx.clock.monotonic())
         for link in self._links:
             if link is not source:
-                link.rows = [*link.rows[-MOST_ROWS:], waiting]
+                link.rows = [*link.rows[-MAX_QUEUED_ROWS:], waiting]
                 link.wake.set()
 
-    def want_rows(self, table: str, after: int) -> None:
+    def request_rows(self, table: str, after: int) -> None:
         """Ask the hosts at the other ends of dialled links, or one of all, for a newer table.
 
         A host dials the hub alone; the hub, which dialled none, asks any.
@@ -312,13 +316,13 @@
 
     def _merge(self, link: Link, frame: Update) -> list[Slot]:
         try:
-            return self._board.merge(frame.entries)
+            return self._facts.merge(frame.entries)
         except Exception as exc:
             # A fact that cannot be read harms nothing else; the rest of the frame comes again.
             self._ctx.timeline.add("bad_fact", "WARNING", detail=f"{link.peer.host}: {exc!r}")
             return []
 
-    def _mark(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         """Note for each link what its peer may not have yet.
 
         A fact is not passed on to a peer that says it has a link to the fact's origin. Most facts
@@ -327,7 +331,7 @@
         for origin in {origin for origin, topic in slots if topic == "links"}:
             self._note_links(origin)
         for slot in slots:
-            for link in self._audience(slot, self._links):
+            for link in self._select_links(slot, self._links):
                 if slot[0] not in link.direct:
                     link.dirty.add(slot)
                     link.wake.set()
@@ -340,32 +344,32 @@
         for link in self._links:
             if link.peer.host != host:
                 continue
-            before, link.direct = link.direct, self._linked_to(host)
+            before, link.direct = link.direct, self._peers_of(host)
             lost = before - link.direct
             if lost:
-                self._offer(link, [slot for slot in self._board.slots() if slot[0] in lost])
+                self._mark_dirty(link, [slot for slot in self._facts.slots() if slot[0] in lost])
 
-    def _offer(self, link: Link, slots: list[Slot]) -> None:
+    def _mark_dirty(self, link: Link, slots: list[Slot]) -> None:
         """Let a link send those facts that it is to pass."""
-        wanted = [slot for slot in slots if self._audience(slot, (link,))]
+        wanted = [slot for slot in slots if self._select_links(slot, (link,))]
         if wanted:
             link.dirty.update(wanted)
             link.wake.set()
 
-    def offer_again(self, host: str, origin: str = "") -> None:
+    def resend_facts(self, host: str, origin: str = "") -> None:
         """Let the link to a host send again what it is to pass now: all facts, or one origin's."""
-        slots = [slot for slot in self._board.slots() if origin in ("", slot[0])]
+        slots = [slot for slot in self._facts.slots() if origin in ("", slot[0])]
         for link in self._links:
             if link.peer.host == host:
-                self._offer(link, slots)
+                self._mark_dirty(link, slots)
 
-    def _linked_to(self, host: str) -> frozenset[str]:
-        known = self._board.get(host, "links")
+    def _peers_of(self, host: str) -> frozenset[str]:
+        known = self._facts.get(host, "links")
         own = self._ctx.cfg.host_id
         return frozenset(known.fact.peers) - {own} if known else frozenset()
 
-    def _tell_links(self) -> None:
-        self._board.publish("links", LinksFact(sorted(self.peers())))
+    def _publish_links(self) -> None:
+        self._facts.publish("links", LinksFact(sorted(self.peers())))
 
     async def _write(self, link: Link) -> None:
         while True:
@@ -374,20 +378,22 @@
             link.wake.clear()
             rows, link.rows = link.rows, []
             slots, link.dirty = link.dirty, set()
-            written = self._board.written(slot for slot in slots if link.concerns(slot))
-            for (_, topic), raw in written.items():
+            encoded = self._facts.encode_entries(slot for slot in slots if link.should_send(slot))
+            for (_, topic), raw in encoded.items():
                 self._fact_bytes[topic].inc(len(raw))
-            parts = list(written.values())
-            link.echo = False
+            parts = list(encoded.values())
+            link.echo_own_host = False
             for waiting in rows:
-                await self._sender.push(link, waiting.write(self._ctx.clock.monotonic()))
+                await self._sender.send_raw(link, waiting.encoded(self._ctx.clock.monotonic()))
             for start in range(0, len(parts), ENTRIES_PER_FRAME):
                 part = parts[start : start + ENTRIES_PER_FRAME]
-                await self._sender.push(link, encode_update(part, self._ctx.timeline.clock.tick()))
+                await self._sender.send_raw(
+                    link, encode_update(part, self._ctx.timeline.clock.tick())
+                )
 
     async def fetch(self, digest: str) -> bytes | None:
         """Ask the peers for a manifest body; None when none gave it in time."""
-        waiter = self._wanted.setdefault(digest, asyncio.get_running_loop().create_future())
+        waiter = self._body_waiters.setdefault(digest, asyncio.get_running_loop().create_future())
         for link in list(self._links):
             await self._sender.send(link, Fetch("fetch", digest))
         try:
@@ -395,4 +401,4 @@
         except TimeoutError:
             return None
         finally:
-            self._wanted.pop(digest, None)
+            self._body_waiters.pop(digest, None)
--- a/peridotdock/placement.py
+++ b/peridotdock/placement.py
@@ -13,13 +13,13 @@
     EngineView,
     Plan,
     allowed_engines,
-    base_places,
+    base_accelerators,
     find_copies,
-    find_places,
+    find_accelerators,
     find_victims,
     make_draft,
 )
-from peridotdock.growth import grow_copies
+from peridotdock.scaling import add_replicas
 from peridotdock.items import Item, name_of
 from peridotdock.ledger import COPY_STATES, State
 from peridotdock.manifest import Accepted
@@ -29,14 +29,14 @@
     accepted: Accepted,
     engines: Iterable[EngineView],
     demand: Mapping[str, float],
-    grow: bool = True,
+    allow_additions: bool = True,
 ) -> Plan:
     """Return what to do next."""
     draft = make_draft(accepted, engines)
     unmet = fill_floor(draft, demand)
-    retire(draft)
-    if grow and not unmet:
-        grow_copies(draft, demand)
+    unload_retired(draft)
+    if allow_additions and not unmet:
+        add_replicas(draft, demand)
     return Plan(tuple(draft.moves), tuple(unmet))
 
 
@@ -47,7 +47,7 @@
         short = item.copies - len(find_copies(draft, item))
         if short > 0:
             unmet.append(item.key)
-            fill_one(draft, item, demand)
+            add_floor_copy(draft, item, demand)
     return unmet
 
 
@@ -56,7 +56,7 @@
     return item.is_adapter, -demand.get(item.key, 0.0), -item.bytes * item.span, item.key
 
 
-def fill_one(draft: Draft, item: Item, demand: Mapping[str, float]) -> None:
+def add_floor_copy(draft: Draft, item: Item, demand: Mapping[str, float]) -> None:
     """Load one copy of an item, or make room for one."""
     if draft.loading >= draft.accepted.manifest.deployment.parallel_loads:
         return
@@ -64,7 +64,7 @@
     if spot is not None:
         draft.load(item, *spot, "floor")
         return
-    make_room(draft, item, demand)
+    free_capacity(draft, item, demand)
 
 
 def find_spot(draft: Draft, item: Item) -> tuple[str, tuple[int, ...]] | None:
@@ -72,17 +72,19 @@
     best = None
     taken = {draft.engines[name].domain for name in find_copies(draft, item)}
     for name in allowed_engines(draft, item):
-        places = find_places(draft.free[name], item, base_places(draft, item, name))
-        if places is None:
+        accelerators = find_accelerators(
+            draft.free[name], item, base_accelerators(draft, item, name)
+        )
+        if accelerators is None:
             continue
         left = sum(draft.free[name]) - item.bytes * item.span
         rank = (draft.engines[name].domain not in taken, left, name)
         if best is None or rank > best[0]:
-            best = (rank, name, places)
+            best = (rank, name, accelerators)
     return (best[1], best[2]) if best else None
 
 
-def make_room(draft: Draft, item: Item, demand: Mapping[str, float]) -> bool:
+def free_capacity(draft: Draft, item: Item, demand: Mapping[str, float]) -> bool:
     """Unload the least wanted extra copies on the engine where fewest must go."""
     best: tuple[tuple[float, int], str, list[str]] | None = None
     for name in allowed_engines(draft, item):
@@ -99,7 +101,7 @@
     return True
 
 
-def retire(draft: Draft) -> None:
+def unload_retired(draft: Draft) -> None:
     """Unload what the manifest no longer names, once what replaces it is ready."""
     for key in list(draft.copies):
         if key in draft.accepted.by_key:
--- a/peridotdock/planner.py
+++ b/peridotdock/planner.py
@@ -18,7 +18,7 @@
 from peridotdock.placement import make_plan
 
 PLAN_KEY = "plan/head"
-DEAD_SECONDS = 4.0
+ENGINE_LOST_SECONDS = 4.0
 
 
 class Planner:
@@ -47,7 +47,7 @@
         """Return the life of the host that has the role, as far as is known."""
         return self._row.value["planner"] if self._row else ""
 
-    async def work(
+    async def update_plan(
         self,
         accepted: Accepted,
         ledgers: Mapping[str, Row],
@@ -62,11 +62,11 @@
         if self.holder != self._ctx.incarnation:
             if not chosen:
                 return
-            lapsed = self._lease_table.lapsed(self.holder) if self.holder else {}
+            lapsed = self._lease_table.prove_lapsed(self.holder) if self.holder else {}
             if lapsed is None:
                 return
             checks |= lapsed
-        engines = self._view(accepted, ledgers, down)
+        engines = self._engine_views(accepted, ledgers, down)
         plan = make_plan(accepted, engines, demand, self._ctx.allows("planner_copies"))
         if plan == self.plan and self.holder == self._ctx.incarnation:
             return
@@ -91,7 +91,7 @@
                 detail=f"{move.action}: {move.reason}",
             )
 
-    def _view(
+    def _engine_views(
         self, accepted: Accepted, ledgers: Mapping[str, Row], down: set[str]
     ) -> list[EngineView]:
         """Return the engines as they stand. One that is briefly away is not yet lost: reloading
@@ -108,7 +108,7 @@
                     name=name,
                     domain=row.domain,
                     capacity=tuple(accelerator.bytes for accelerator in row.accelerators),
-                    alive=away < DEAD_SECONDS,
+                    alive=away < ENGINE_LOST_SECONDS,
                     copies=tuple(Copy(c.item, c.state, c.bytes, c.places) for c in copies),
                 )
             )
--- a/peridotdock/publishing.py
+++ b/peridotdock/publishing.py
@@ -12,7 +12,7 @@
 from peridotdock import manifest as manifests
 from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.manifest import Accepted, Checked
+from peridotdock.manifest import Accepted, CheckResult
 from peridotdock.placement import find_floor_errors
 
 HEAD_KEY = "manifest/head"
@@ -37,17 +37,19 @@
     return f"manifest/{old}..{new}"
 
 
-def check_all(raw: bytes) -> Checked:
+def check_all(raw: bytes) -> CheckResult:
     """Check a manifest in every way, the floor included."""
     checked = manifests.check(raw)
     if checked.manifest is None:
         return checked
     accepted = Accepted(0, "", checked.document, checked.manifest)
     errors = find_floor_errors(accepted)
-    return Checked(None, checked.document, tuple(errors)) if errors else checked
+    return CheckResult(None, checked.document, tuple(errors)) if errors else checked
 
 
-def judge(head: dict[str, Any] | None, document: dict[str, Any], digest: str) -> Failure | None:
+def check_successor(
+    head: dict[str, Any] | None, document: dict[str, Any], digest: str
+) -> Failure | None:
     """Tell whether a document may follow the head; None when it may."""
     if head is None:
         if document["based_on"] == 0:
@@ -77,7 +79,7 @@
     head = row.value if row else None
     if head is not None and head["digest"] == digest:
         return Published(head["generation"], digest, changed=False)
-    refusal = judge(head, document, digest)
+    refusal = check_successor(head, document, digest)
     if refusal is not None:
         return refusal
     stored = await store_bodies(platform, document, digest, head, current)
@@ -136,7 +138,7 @@
     head = rows[HEAD_KEY].value
     if head["digest"] == digest:
         return Published(head["generation"], digest, changed=False)
-    return judge(head, document, digest) or lost
+    return check_successor(head, document, digest) or lost
 
 
 async def fetch_from_store(
--- a/peridotdock/relay/doors.py
+++ b/peridotdock/relay/doors.py
@@ -59,7 +59,7 @@
 
     async def _directory(self, request: Request) -> Response:
         rows = self._membership.members().values()
-        addresses = [row.fact.entry for row in rows if row.takes_work]
+        addresses = [row.fact.entry for row in rows if row.accepts_work]
         random.shuffle(addresses)
         body = self._adapter.write_addresses(addresses, ADDRESS_SECONDS)
         return Response(200, None, Content(b"application/json", body))
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/node.py
@@ -12,7 +12,7 @@
 from peridotdock.deployment import Deployment
 from peridotdock.errors import failed
 from peridotdock.jobs import Jobs
-from peridotdock.keeping import KEEP_SECONDS, BlocklistKeeper
+from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.relay.absent import WaitingRoom
 from peridotdock.relay.adapter import Adapter
 from peridotdock.relay.choosing import Chooser
@@ -145,7 +145,7 @@
         )
         self.keep_due = asyncio.Event()
         self.blocklist.on_blocked = self.keep_due.set
-        self.keeper = BlocklistKeeper(ctx, self.store, self.leadership.holds, self.blocklist)
+        self.keeper = BlocklistStore(ctx, self.store, self.leadership.holds, self.blocklist)
         engines = adapter.open_engines(self.endpoints)
         self.orderer = Orderer(ctx, self.fleet, engines, self.leadership, settings.bounds)
         self.orderer.heard_loads = self.peers.heard_loads
@@ -190,7 +190,7 @@
         every(lambda: self._word_seconds(RUNS_SECONDS, SELDOM), self._tell_runs, "runs")
         every(lambda: self._word_seconds(DEMAND_SECONDS, SELDOM), self._tell_demand, "demand")
         every(self.lag.look_seconds, self.lag.look, "lag")
-        every(lambda: KEEP_SECONDS, self.keeper.step, "block list", self.keep_due)
+        every(lambda: CHECK_SECONDS, self.keeper.step, "block list", self.keep_due)
         every(self._lease_seconds, self._step_lease, "lease", self.lease_due)
         self._tasks.append(asyncio.create_task(self._order()))
         self.ctx.timeline.add("started", detail=str(self.settings.listen.callers))
@@ -219,7 +219,7 @@
 
     def _word_seconds(self, least: float, seldom: float = 1.0) -> float:
         """Return the time until the next word to the hub, which takes in so many a second."""
-        return max(least, seldom * len(self.peers.board.on("host")) / WORDS_PER_SECOND)
+        return max(least, seldom * len(self.peers.board.by_origin("host")) / WORDS_PER_SECOND)
 
     async def _tell_work(self) -> None:
         self.peers.tell_work()
@@ -228,7 +228,7 @@
         self.quotas.tell()
         self.words.tell()
         self.permits.look()
-        self.blocklist.tell()
+        self.blocklist.publish_changes()
         self.views.keep_telling()
 
     async def _tell_runs(self) -> None:
@@ -351,7 +351,7 @@
         """Tell other hosts whether callers may be sent here: what readiness says, in short."""
         if self.leaving or self.front.deployment is None:
             return
-        self.peers.membership.become("live" if self._ready() else "starting")
+        self.peers.membership.set_state("live" if self._ready() else "starting")
 
     def _put_in_force(self, found: Deployment) -> None:
         """Serve by this configuration from now on, never by an older one again."""
@@ -411,11 +411,11 @@
         began = clock.monotonic()
         self.leaving = True
         self.ctx.timeline.add("leaving")
-        self.peers.membership.become("leaving")
+        self.peers.membership.set_state("leaving")
         await self.leadership.give_up()
         await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_FACTOR, bounds.stopping / 2))
         until = began + bounds.stopping - STOP_MARGIN
         while self.front.in_work and clock.monotonic() < until:
             await clock.sleep(DRAIN_POLL_SECONDS)
-        self.peers.membership.become("gone")
+        self.peers.membership.set_state("gone")
         self.ctx.timeline.add("stopped", detail=f"{self.front.in_work} requests left")
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from functools import lru_cache
 
-from peridotdock.board import Board, Known, Slot
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.decisions.draft import Demand
 from peridotdock.decisions.quotas import host_share
@@ -64,7 +64,7 @@
         self._ctx = ctx
         self._settings = settings
         self._fleet = fleet
-        self.board = Board(settings.host, ctx.epoch, ctx.clock)
+        self.board = FactTable(settings.host, ctx.epoch, ctx.clock)
         self.mesh = Mesh(ctx, self.board, give_body, self._choose_hub, self._audience)
         self._leader = ""
         self._told_hub = ""
@@ -78,7 +78,9 @@
             0,
             int(settings.strong),
         )
-        reach = Reach(self.board, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_heard)
+        reach = Reach(
+            self.board, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_received
+        )
         self.membership = Membership(self.board, own, ctx.clock, reach)
         self.meter = DemandMeter(PEAK_SECONDS)
         self.waiting: dict[str, int] = {}
@@ -94,7 +96,7 @@
     async def start(self) -> None:
         """Open the links."""
         await self.mesh.start()
-        self.membership.become("starting")
+        self.membership.set_state("starting")
         self.link()
 
     def link(self) -> None:
@@ -112,7 +114,7 @@
         hub = self._hub()
         if hub != self._told_hub:
             self._told_hub = hub
-            self.mesh.offer_again(hub, self._settings.host)
+            self.mesh.resend_facts(hub, self._settings.host)
         if hub in self.mesh.peers():
             self.mesh.keep_only(hub)
 
@@ -216,7 +218,7 @@
         rows = self.membership.members().items()
         return [name for name, row in rows if row.fact.state != "gone"]
 
-    def _take_loads(self, known: Known) -> None:
+    def _take_loads(self, known: KnownFact) -> None:
         """Take in the work of all hosts on endpoints, less what this one has told of its own."""
         own = self.board.get(self._settings.host, "work")
         mine = read_work(own.fact) if own is not None else {}
@@ -242,12 +244,12 @@
             self.board.publish("loads", fact)
 
     def _take_orders(self) -> None:
-        rows = self.board.on("orders").items()
+        rows = self.board.by_origin("orders").items()
         origin, known = max(rows, key=lambda row: max(row[1].fact.term, row[1].fact.resigned))
         newest = known.fact
         if newest.term and origin != self._leader:
             self._leader = origin
-            self.mesh.offer_again(origin)
+            self.mesh.resend_facts(origin)
         self._fleet.take_news(newest.engines, known.at)
         self.on_term(newest.term)
         if newest.resigned:
@@ -256,7 +258,7 @@
     def has_leader(self) -> bool:
         """Tell whether a live host that this one hears says that it orders engines."""
         live, heard_of = self.membership.members(), self._heard_of()
-        for origin, known in self.board.on("orders").items():
+        for origin, known in self.board.by_origin("orders").items():
             member = live.get(origin)
             heard = member is not None and member.alive and origin in heard_of
             if known.fact.term and (heard or origin == self._settings.host):
@@ -345,7 +347,7 @@
     def heard_loads(self, term: int) -> dict[str, list[float]] | None:
         """Return how old the loads are that the holder of a term told of, None if it told none."""
         now = self._ctx.clock.monotonic()
-        for known in self.board.on("orders").values():
+        for known in self.board.by_origin("orders").values():
             if term in (known.fact.term, known.fact.resigned):
                 past = now - known.at
                 return {
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -165,7 +165,7 @@
             self._share(),
             self._ctx.clock.monotonic(),
         )
-        for origin, known in self._peers.board.on("usage").items():
+        for origin, known in self._peers.board.by_origin("usage").items():
             row = Usage(known.fact.totals, known.fact.since)
             age = now - known.at
             hub.note_usage(origin, known.entry.epoch, row, self._quotas, share, now, age)
@@ -174,7 +174,7 @@
     def _as_hub(self) -> HubQuotas:
         """Return the buckets of all hosts, as this host keeps them while it is the hub."""
         if self._hub is None:
-            words = self._peers.board.on("quotas").values()
+            words = self._peers.board.by_origin("quotas").values()
             last = max(words, key=lambda known: known.at, default=None)
             self._hub = HubQuotas(self._tolerance)
             low = last.fact.low if last is not None else None
--- a/peridotdock/relay/reach.py
+++ b/peridotdock/relay/reach.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Collection
 
-from peridotdock.board import Board, Slot
+from peridotdock.fact_table import FactTable, Slot
 from peridotdock.clock import Clock
 
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        board: Board,
+        board: FactTable,
         clock: Clock,
         host: str,
         peers: Callable[[], set[str]],
--- a/peridotdock/relay/sums.py
+++ b/peridotdock/relay/sums.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import TypeVar
 
-from peridotdock.board import Board, Known
+from peridotdock.fact_table import FactTable, KnownFact
 from peridotdock.columns import pack, unpack
 from peridotdock.decisions.draft import Demand
 from peridotdock.membership import Membership
@@ -16,10 +16,12 @@
 Work = dict[str, tuple[int, int]]
 
 
-def alive_facts(board: Board, membership: Membership, topic: str) -> Iterator[tuple[str, Known]]:
+def alive_facts(
+    board: FactTable, membership: Membership, topic: str
+) -> Iterator[tuple[str, KnownFact]]:
     """Give what is known on a topic, by origin, of the hosts that are alive."""
     members = membership.members()
-    for origin, known in board.on(topic).items():
+    for origin, known in board.by_origin(topic).items():
         if origin in members and members[origin].alive:
             yield origin, known
 
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -52,7 +52,7 @@
         self._followed: dict[str, Followed] = {}
         self.hide_keys: HideKeys = lambda table, rows: rows
         peers.mesh.on_rows = self._hear
-        peers.mesh.on_wanted = self._give
+        peers.mesh.on_rows_wanted = self._give
 
     def follow(
         self,
@@ -68,7 +68,7 @@
         follower = Follower(self._ctx, self._tables, table, take, lambda: rest, limits)
         follower.reads = self._reads
         follower.tell = lambda found, after: self._tell(table, found, after)
-        follower.ask_hosts = lambda after: self._peers.mesh.want_rows(table, after)
+        follower.ask_hosts = lambda after: self._peers.mesh.request_rows(table, after)
         follower.on_lost = lambda: self._say_unchanged(table)
         self._followed[table] = Followed(follower, bound, most_told)
         return follower
--- a/peridotdock/relay/words.py
+++ b/peridotdock/relay/words.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Iterable
 
-from peridotdock.board import Known, Slot
+from peridotdock.fact_table import KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.relay.asks import AnswerHead, RelayAsk
 from peridotdock.relay.endpoint import EndpointState, LimitWord
@@ -64,7 +64,7 @@
         any more takes back what it told: a new link would give it out as new.
         """
         for topic in (HEARD, TOLD):
-            for known in self._peers.board.on(topic).values():
+            for known in self._peers.board.by_origin(topic).values():
                 self._merge(known)
         said = [state for state in self._fleet.states.values() if has_said(state)]
         if self._peers.is_hub():
@@ -104,7 +104,7 @@
         if any(changed) and self._peers.is_hub():
             self.tell()
 
-    def _merge(self, known: Known) -> bool:
+    def _merge(self, known: KnownFact) -> bool:
         """Take in words that are newer than what this host knows, and tell of a change."""
         changed = False
         for row in known.fact.rows:
--- a/peridotdock/rendezvous.py
+++ b/peridotdock/rendezvous.py
@@ -33,12 +33,14 @@
     def __init__(self, host: str):
         self._host = host
         self._seen: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
-        self._mine: frozenset[str] = frozenset()
+        self._own_keys: frozenset[str] = frozenset()
 
-    def mine(self, keys: Iterable[str], members: Iterable[str]) -> frozenset[str]:
+    def own_keys(self, keys: Iterable[str], members: Iterable[str]) -> frozenset[str]:
         """Return the keys for which this host is the heaviest of ``members``."""
         seen = (tuple(keys), tuple(members))
         if seen != self._seen:
             self._seen = seen
-            self._mine = frozenset(key for key in seen[0] if choose(key, seen[1]) == [self._host])
-        return self._mine
+            self._own_keys = frozenset(
+                key for key in seen[0] if choose(key, seen[1]) == [self._host]
+            )
+        return self._own_keys
--- a/peridotdock/routing.py
+++ b/peridotdock/routing.py
@@ -42,25 +42,25 @@
 
 def usable(state: EndpointState, now: float) -> bool:
     """Tell whether new work may go to an endpoint."""
-    return may_choose(state, now) and state.bad_until <= now
+    return may_choose(state, now) and state.excluded_until <= now
 
 
 def may_choose(state: EndpointState, now: float) -> bool:
     """Tell whether an endpoint may get new work although it failed lately."""
-    return not state.down and not state.leaving and state.rests_until <= now
+    return not state.down and not state.leaving and state.backoff_until <= now
 
 
 def find_retry(
     candidates: Sequence[EndpointState], now: float, least: float = UNLOADED_RETRY_SECONDS
 ) -> float:
     """Return when to come back where no endpoint takes work: when the first has rested."""
-    rests = [s.rests_until - now for s in candidates if not s.down and not s.leaving]
+    rests = [s.backoff_until - now for s in candidates if not s.down and not s.leaving]
     return max(least, min(rests, default=0.0))
 
 
 def expect_cached(state: EndpointState, wish: Wish, now: float) -> int:
     """Return the prompt tokens thought to be cached there, cut by the trust in the hints."""
-    hits = state.hit_blocks(wish.blocks, now) * BLOCK_TOKENS
+    hits = state.count_cached_blocks(wish.blocks, now) * BLOCK_TOKENS
     return min(wish.tokens, int(hits * state.trust))
 
 
@@ -86,10 +86,12 @@
     load = state.load
     if not corrected:
         return load.running + load.waiting, float(load.prefill)
-    in_system = max(len(state.own), load.running + load.waiting + state.changed_since)
+    in_system = max(
+        len(state.own_requests), load.running + load.waiting + state.net_sent_since_report
+    )
     elapsed = max(0.0, now - state.load_at)
-    left = max(0.0, load.prefill + state.sent_tokens - elapsed * load.prefill_rate)
-    own = float(state.unfilled_tokens)
+    left = max(0.0, load.prefill + state.tokens_since_report - elapsed * load.prefill_rate)
+    own = float(state.prefill_tokens)
     return in_system, max(left, own if elapsed < FRESH_SECONDS else min(own, left))
 
 
@@ -129,7 +131,7 @@
     few = rng.sample(states, SAMPLE)
     if wish.blocks and len(states) <= SCAN_MOST:
         first = wish.blocks[0]
-        few += [state for state in states if first in state.blocks][:SAMPLE]
+        few += [state for state in states if first in state.cached_blocks][:SAMPLE]
     return list(dict.fromkeys(few))
 
 
--- a/peridotdock/growth.py
+++ b/peridotdock/scaling.py
@@ -6,26 +6,30 @@
 from peridotdock.drafts import (
     Draft,
     allowed_engines,
-    base_places,
-    find_places,
+    base_accelerators,
+    find_accelerators,
     find_victims,
 )
 from peridotdock.items import Item
 from peridotdock.manifest import Accepted
 
-BUSY = 0.9
-HOT_ENGINES = 8
-HOT_ITEMS = 6
-COOL_ENGINES = 8
-MAX_GROWTH_PER_PLAN = 2
+LINEAR_COST_LOAD = 0.9
+MAX_HOT_ENGINES = 8
+MAX_HOT_ITEMS = 6
+MAX_COOL_ENGINES = 8
+MAX_ADDITIONS_PER_PLAN = 2
 
 
 def queue_cost(load: float) -> float:
     """Return the mean number of requests that wait at a load, straight beyond :data:`BUSY`."""
-    if load <= BUSY:
+    if load <= LINEAR_COST_LOAD:
         return load * load / (1 - load)
-    slope = (2 * BUSY - BUSY * BUSY) / (1 - BUSY) ** 2
-    return BUSY * BUSY / (1 - BUSY) + slope * (load - BUSY)
+    slope = (2 * LINEAR_COST_LOAD - LINEAR_COST_LOAD * LINEAR_COST_LOAD) / (
+        1 - LINEAR_COST_LOAD
+    ) ** 2
+    return LINEAR_COST_LOAD * LINEAR_COST_LOAD / (1 - LINEAR_COST_LOAD) + slope * (
+        load - LINEAR_COST_LOAD
+    )
 
 
 def spread_load(draft: Draft, demand: Mapping[str, float]) -> dict[str, float]:
@@ -38,16 +42,16 @@
     return loads
 
 
-def grow_copies(draft: Draft, demand: Mapping[str, float]) -> None:
+def add_replicas(draft: Draft, demand: Mapping[str, float]) -> None:
     """Add the copies that take most queueing away, while they are worth the price of a move."""
     deployment = draft.accepted.manifest.deployment
-    for _ in range(MAX_GROWTH_PER_PLAN):
+    for _ in range(MAX_ADDITIONS_PER_PLAN):
         if draft.loading >= deployment.parallel_loads:
             return
-        best = find_growth(draft, demand)
+        best = find_addition(draft, demand)
         if best is None or best.gain <= deployment.move_price:
             return
-        spot = find_places(draft.free[best.engine], best.item, best.places)
+        spot = find_accelerators(draft.free[best.engine], best.item, best.accelerators)
         if spot is not None:
             draft.load(best.item, best.engine, spot, f"gain {best.gain:.2f}")
             continue
@@ -58,31 +62,31 @@
 
 
 @dataclass(frozen=True)
-class Growth:
+class ReplicaAddition:
     """A copy that could be added, and the queueing it would take away."""
 
     item: Item
     engine: str
-    places: tuple[int, ...] | None
+    accelerators: tuple[int, ...] | None
     gain: float
 
 
-def find_growth(draft: Draft, demand: Mapping[str, float]) -> Growth | None:
+def find_addition(draft: Draft, demand: Mapping[str, float]) -> ReplicaAddition | None:
     """Return the best copy to add: an item of a hot engine on a cool one."""
     loads = spread_load(draft, demand)
-    family = family_demand(draft.accepted, demand)
+    family = demand_with_adapters(draft.accepted, demand)
     ranked = sorted(loads, key=lambda name: loads[name], reverse=True)
-    best: Growth | None = None
-    for hot in ranked[:HOT_ENGINES]:
+    best: ReplicaAddition | None = None
+    for hot in ranked[:MAX_HOT_ENGINES]:
         for item in hot_items(draft, hot, family):
-            for cool in allowed_growth(draft, item, loads):
-                gain = growth_gain(draft, item, cool, loads, family)
+            for cool in allowed_additions(draft, item, loads):
+                gain = addition_gain(draft, item, cool, loads, family)
                 if best is None or gain > best.gain:
-                    best = Growth(item, cool, base_places(draft, item, cool), gain)
+                    best = ReplicaAddition(item, cool, base_accelerators(draft, item, cool), gain)
     return best
 
 
-def family_demand(accepted: Accepted, demand: Mapping[str, float]) -> dict[str, float]:
+def demand_with_adapters(accepted: Accepted, demand: Mapping[str, float]) -> dict[str, float]:
     """Return the demand by item, with that for adapters counted for their base too.
 
     An adapter can only go where its base is, so the base has to grow first, on their behalf.
@@ -99,22 +103,22 @@
     keys = [key for key, found in draft.copies.items() if engine in found and family.get(key)]
     keys = [key for key in keys if key in draft.accepted.by_key]
     keys.sort(key=lambda key: family[key] / max(1, len(draft.holders(key))), reverse=True)
-    return [draft.accepted.by_key[key] for key in keys[:HOT_ITEMS]]
+    return [draft.accepted.by_key[key] for key in keys[:MAX_HOT_ITEMS]]
 
 
-def allowed_growth(draft: Draft, item: Item, loads: Mapping[str, float]) -> list[str]:
+def allowed_additions(draft: Draft, item: Item, loads: Mapping[str, float]) -> list[str]:
     """Return the coolest engines that could take one more copy, with room or with extras."""
     names = sorted(allowed_engines(draft, item), key=lambda name: loads.get(name, 0.0))
     fits = []
     for name in names:
         if find_victims(draft, item, name, {}) is not None:
             fits.append(name)
-        if len(fits) == COOL_ENGINES:
+        if len(fits) == MAX_COOL_ENGINES:
             break
     return fits
 
 
-def growth_gain(
+def addition_gain(
     draft: Draft,
     item: Item,
     cool: str,
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -72,14 +72,14 @@
             self._ctx.metrics.sends.labels(str(attempt + 1)).inc()
             outcome = await self._call_once(ask, state, caller)
             if not failed(outcome):
-                state.succeeded()
+                state.note_success()
                 return outcome
             maybe = maybe or outcome.may_have_run
             now = self._ctx.clock.monotonic()
             if outcome.kind is Kind.ENDPOINT_REFUSED:
-                state.refused(outcome, now)
+                state.note_rejection(outcome, now)
             else:
-                state.failed_at(now)
+                state.note_failure(now)
             if outcome.kind not in RETRY_KINDS or not (ask.repeatable or not maybe):
                 break
         return admit_maybe(outcome, maybe) if failed(outcome) else outcome
@@ -99,9 +99,9 @@
         now = self._ctx.clock.monotonic()
         states = self._serving(ask)
         states = [s for s in states if s.name not in tried]
-        states = [s for s in states if not s.leaving and s.rests_until <= now]
-        ready = [s for s in states if s.bad_until <= now and not s.down] or states
-        return min(ready, key=lambda s: (len(s.own), self._ctx.rng.random()), default=None)
+        states = [s for s in states if not s.leaving and s.backoff_until <= now]
+        ready = [s for s in states if s.excluded_until <= now and not s.down] or states
+        return min(ready, key=lambda s: (len(s.own_requests), self._ctx.rng.random()), default=None)
 
     async def _call_once(
         self, ask: ServiceAsk, state: EndpointState, caller: Caller
@@ -109,14 +109,14 @@
         headers = {k: v for k, v in ask.headers.items() if k.lower() not in HOP_HEADERS}
         headers["x-request-id"] = ask.request_id
         call = Call(ask.method, ask.path, headers, ask.body, once=not ask.repeatable)
-        state.began(ask.request_id, self._ctx.clock.monotonic(), 0)
+        state.note_sent(ask.request_id, self._ctx.clock.monotonic(), 0)
         whole = False
         try:
             reply = await self._wait_service(self._exchange(state, call, ask), ask, caller)
             whole = not failed(reply)
             return reply
         finally:
-            state.finished(ask.request_id, self._ctx.clock.monotonic(), whole)
+            state.note_finished(ask.request_id, self._ctx.clock.monotonic(), whole)
 
     async def _exchange(self, state: EndpointState, call: Call, ask: ServiceAsk) -> Reply | Failure:
         opened = await self._endpoints.open(state.url, call)
--- a/peridotdock/watch.py
+++ b/peridotdock/watch.py
@@ -7,63 +7,63 @@
 import asyncio
 from dataclasses import dataclass
 
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clients.endpoint import HttpEndpoints, Report
 from peridotdock.columns import pack
 from peridotdock.context import Context
 from peridotdock.errors import failed
-from peridotdock.fleet import AGE_UNIT, PREFILL_UNIT, Fleet
+from peridotdock.fleet import AGE_UNIT_SECONDS, PREFILL_UNIT_TOKENS, Fleet
 from peridotdock.manifest import Accepted
 from peridotdock.rendezvous import Assignment
 from peridotdock.schema.manifest import Endpoint
 from peridotdock.schema.messages import HeldFact, LoadFact
 
-FAILS_UNTIL_DOWN = 2
+FAILURES_UNTIL_DOWN = 2
 
 
 @dataclass
-class Watched:
+class WatchedEndpoint:
     """What the watcher remembers of one endpoint."""
 
     report: Report | None = None
     read_at: float = 0.0
-    fails: int = 0
+    failures: int = 0
     last_event: int = 0
 
 
 class Watcher:
     """Reads the reports of the endpoints that are this host's to watch."""
 
-    def __init__(self, ctx: Context, board: Board, endpoints: HttpEndpoints, fleet: Fleet):
+    def __init__(self, ctx: Context, facts: FactTable, endpoints: HttpEndpoints, fleet: Fleet):
         self._ctx = ctx
-        self._board = board
+        self._facts = facts
         self._endpoints = endpoints
         self._fleet = fleet
-        self._watched: dict[str, Watched] = {}
+        self._watched: dict[str, WatchedEndpoint] = {}
         self._assignment = Assignment(ctx.cfg.host_id)
         self.listed_leaving: set[str] = set()
 
-    async def round(self, accepted: Accepted, live: list[str]) -> None:
+    async def read_all(self, accepted: Accepted, live: list[str]) -> None:
         """Read all endpoints that are ours, then publish."""
-        mine = self._assignment.mine(accepted.engines, live)
-        self._watched = {name: seen for name, seen in self._watched.items() if name in mine}
-        await asyncio.gather(*(self._read(accepted.engines[name]) for name in mine))
+        own = self._assignment.own_keys(accepted.engines, live)
+        self._watched = {name: seen for name, seen in self._watched.items() if name in own}
+        await asyncio.gather(*(self._read(accepted.engines[name]) for name in own))
         self._publish()
 
     async def _read(self, endpoint: Endpoint) -> None:
-        seen = self._watched.setdefault(endpoint.id, Watched())
+        seen = self._watched.setdefault(endpoint.id, WatchedEndpoint())
         report = await self._endpoints.report(endpoint.url, seen.last_event)
         if failed(report):
-            seen.fails += 1
+            seen.failures += 1
             return
         if seen.report is not None and seen.report.boot != report.boot:
             seen.last_event = 0
-        self._take_events(endpoint.id, seen, report)
+        self._apply_events(endpoint.id, seen, report)
         seen.report = report
         seen.read_at = self._ctx.clock.monotonic()
-        seen.fails = 0
+        seen.failures = 0
 
-    def _take_events(self, name: str, seen: Watched, report: Report) -> None:
+    def _apply_events(self, name: str, seen: WatchedEndpoint, report: Report) -> None:
         """Follow the engine's cache. After a gap, what it might have dropped is not trusted."""
         state = self._fleet.states.get(name)
         if state is None:
@@ -73,14 +73,16 @@
                 state.trust *= 0.7
             seen.last_event = sequence
             if what == "add":
-                state.remember((block,), self._ctx.clock.monotonic())
+                state.add_cached_blocks((block,), self._ctx.clock.monotonic())
             else:
-                state.drop(block)
+                state.drop_cached_block(block)
 
     def _publish(self) -> None:
         now = self._ctx.clock.monotonic()
-        ready = {n: s for n, s in self._watched.items() if s.report and s.fails < FAILS_UNTIL_DOWN}
-        down = [n for n, s in self._watched.items() if s.fails >= FAILS_UNTIL_DOWN]
+        ready = {
+            n: s for n, s in self._watched.items() if s.report and s.failures < FAILURES_UNTIL_DOWN
+        }
+        down = [n for n, s in self._watched.items() if s.failures >= FAILURES_UNTIL_DOWN]
         leaving = {n for n, s in ready.items() if s.report.leaving} | self.listed_leaving
         held = {
             name: sorted(key for key, item in seen.report.items.items() if item.ready)
@@ -88,13 +90,13 @@
         }
         boots = {name: seen.report.boot for name, seen in ready.items()}
         fact = HeldFact(held=held, down=sorted(down), leaving=sorted(leaving), boots=boots)
-        known = self._board.get(self._ctx.cfg.host_id, "held")
+        known = self._facts.get(self._ctx.cfg.host_id, "held")
         if known is None or known.fact != fact:
-            self._board.publish("held", fact)
+            self._facts.publish("held", fact)
         if ready:
-            self._board.publish("load", self._pack(ready, now))
+            self._facts.publish("load", self._pack(ready, now))
 
-    def _pack(self, ready: dict[str, Watched], now: float) -> LoadFact:
+    def _pack(self, ready: dict[str, WatchedEndpoint], now: float) -> LoadFact:
         names = sorted(ready)
         loads = [ready[name].report.load for name in names]
         ages = [now - ready[name].read_at + ready[name].report.age for name in names]
@@ -102,8 +104,8 @@
             endpoints=names,
             running=pack("H", (load.running for load in loads)),
             waiting=pack("H", (load.waiting for load in loads)),
-            prefill=pack("H", (load.prefill / PREFILL_UNIT for load in loads)),
-            age=pack("H", (age / AGE_UNIT for age in ages)),
+            prefill=pack("H", (load.prefill / PREFILL_UNIT_TOKENS for load in loads)),
+            age=pack("H", (age / AGE_UNIT_SECONDS for age in ages)),
             batch_limit=pack("H", (load.batch_limit for load in loads)),
             prefill_rate=pack("I", (load.prefill_rate for load in loads)),
             step_us=pack("I", (load.step_us for load in loads)),
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -64,5 +64,5 @@
 
 def facts_of(board, slots=None):
     """The facts of a board as its peers read them: those in ``slots``, or all."""
-    raw = board.written(board.slots() if slots is None else slots).values()
+    raw = board.encode_entries(board.slots() if slots is None else slots).values()
     return decode(encode_update(raw, 0)).entries
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -212,7 +212,7 @@
         self.gone = set()
         self.loaded = True
 
-    def lapsed(self, incarnation):
+    def prove_lapsed(self, incarnation):
         return {} if incarnation in self.gone else None
 
 
--- a/tests/relay/test_hubs.py
+++ b/tests/relay/test_hubs.py
@@ -55,7 +55,7 @@
             await found.until(lambda: all_live(found) and len(hubs(found)) == 1)
             [hub] = hubs(found)
             names = {host.settings.host for host in found.hosts}
-            await found.until(lambda: names == {*hub.peers.board.on("work")})
+            await found.until(lambda: names == {*hub.peers.board.by_origin("work")})
 
     @run
     async def test_stale_seeds_are_passed_over(self):
--- a/tests/relay/test_loads.py
+++ b/tests/relay/test_loads.py
@@ -32,7 +32,7 @@
         fleet = RelayFleet("north", self.clock)
         fleet.replace([entry("m0")])
         peers = Peers(make_ctx(self.clock, name), settings, fleet, lambda digest: b"")
-        peers.membership.become("live")
+        peers.membership.set_state("live")
         return peers, fleet
 
     def hear(self, peers, origin, topic, fact, epoch=1):
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clients.tables import TableView
 from peridotdock.decisions.freshness import wait_after
 from peridotdock.errors import Failure, Kind
@@ -178,7 +178,7 @@
 class OldWordTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.clock = FakeClock()
-        self.near, self.far = Board("h1", 1, self.clock), Board("h2", 1, self.clock)
+        self.near, self.far = FactTable("h1", 1, self.clock), FactTable("h2", 1, self.clock)
 
     async def test_the_word_of_a_dead_host_on_endpoints_ends_with_it(self):
         """An engine gets no order for two minutes: a host that died could not connect to it."""
--- a/tests/relay/test_outages.py
+++ b/tests/relay/test_outages.py
@@ -4,12 +4,12 @@
 import unittest
 from dataclasses import replace
 
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clients.engines import Action
 from peridotdock.clients.tables import TableChanges, TableView
 from peridotdock.decisions.freshness import LEAST_BOUND, share_out
 from peridotdock.frames import decode, encode_update
-from peridotdock.links import WaitingRows
+from peridotdock.links import QueuedRows
 from peridotdock.relay.following import Follower
 from peridotdock.relay.leadership import Leadership
 from peridotdock.relay.records import UNLOAD_SLACK, EngineRecord
@@ -25,7 +25,12 @@
 
 def boards(epoch=100):
     clock = FakeClock()
-    return clock, Board("h1", epoch, clock), Board("h2", 100, clock), Board("h3", 100, clock)
+    return (
+        clock,
+        FactTable("h1", epoch, clock),
+        FactTable("h2", 100, clock),
+        FactTable("h3", 100, clock),
+    )
 
 
 class AgeTest(unittest.TestCase):
@@ -51,17 +56,17 @@
         clock, dead, hub, late = boards()
         dead.publish("host", host_fact())
         hub.merge(facts_of(dead))
-        hub.written(hub.slots())
+        hub.encode_entries(hub.slots())
         clock.advance(4.0)
-        [raw] = hub.written(hub.slots()).values()
+        [raw] = hub.encode_entries(hub.slots()).values()
         late.merge(decode(encode_update([raw], 0)).entries)
         self.assertAlmostEqual(4.0, clock.monotonic() - late.get("h1", "host").at, places=1)
 
     def test_rows_that_wait_on_links_grow_older(self):
-        rows = WaitingRows(Rows("rows", "servers", "h1", 1, 1, 1, age=100), 50.0)
+        rows = QueuedRows(Rows("rows", "servers", "h1", 1, 1, 1, age=100), 50.0)
         for now, least in ((50.0, 100), (50.01, 110), (50.5, 600), (52.0, 2100)):
             with self.subTest(now=now):
-                age = decode(rows.write(now)).age
+                age = decode(rows.encoded(now)).age
                 self.assertGreaterEqual(age, least)
                 self.assertLess(age, least + 30)
 
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -9,17 +9,17 @@
 
 from peridotdock.blocklist import (
     BLOCKED_SECONDS,
-    MOST_ENDS,
+    MAX_ENDS,
     REMEMBERED_SECONDS,
-    TRY_AGAIN_SECONDS,
+    TRIAL_RETRY_SECONDS,
     Blocklist,
     EndpointStart,
 )
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.clients.platform import Row
 from peridotdock.decisions.poison import find_poison
 from peridotdock.events import Filter
-from peridotdock.keeping import BLOCKED_KEY, BlocklistKeeper
+from peridotdock.blocklist_store import BLOCKED_KEY, BlocklistStore
 from peridotdock.relay.asks import EndpointEntry
 from peridotdock.relay.fleet import LAPSE_SECONDS, RelayFleet
 from peridotdock.requests import hash_content
@@ -55,11 +55,11 @@
     "372 386 801 997 1201 1248 1870 2478 5003 6364 7165 8236 12963",
 )
 # Seconds after which one host's word has reached the others.
-TOLD_SECONDS = 0.3
+PUBLISH_SECONDS = 0.3
 ENGINES = tuple((f"e{number}", ("m0",)) for number in range(8))
 
 
-def spoil(found):
+def make_poison_fatal(found):
     """Let the request end each engine; return what tells which have ended."""
     for runner in found.engines.values():
         runner.fatal = {POISON}
@@ -73,9 +73,9 @@
     return {request: match[1] for request, match in found if match}
 
 
-class SightTest(unittest.TestCase):
+class LostSendLogTest(unittest.TestCase):
     @run
-    async def test_lines_tell_which_attempts_are_the_same_request(self):
+    async def test_log_lines_identify_attempts_at_the_same_request(self):
         """Operators see engines end, and can't tell which of a hundred requests did it."""
         async with Deployment(engines=ENGINES) as found:
             for runner in found.engines.values():
@@ -102,12 +102,12 @@
     """
 
     @run
-    async def test_it_reaches_no_engine_after_the_third(self):
+    async def test_a_fatal_request_reaches_no_engine_after_the_third(self):
         async with Deployment(hosts=2, engines=ENGINES) as found:
-            ended = spoil(found)
+            ended = make_poison_fatal(found)
             for number in range(6):
                 await found.ask("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
-                await asyncio.sleep(TOLD_SECONDS)
+                await asyncio.sleep(PUBLISH_SECONDS)
             self.assertEqual(3, len(ended()), ended())
             status, headers, _ = await found.ask("/recap/", "bad", "m0", body=POISON)
             self.assertEqual(503, status)
@@ -116,13 +116,13 @@
             self.assertEqual(200, status)
 
     @run
-    async def test_it_is_known_after_all_hosts_have_lost_power(self):
+    async def test_the_block_list_survives_a_restart_of_all_hosts(self):
         """The same begins anew when all hosts were replaced: none of them keeps anything."""
         async with Deployment(hosts=2, engines=ENGINES) as found:
-            ended = spoil(found)
+            ended = make_poison_fatal(found)
             for number in range(3):
                 await found.ask("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
-                await asyncio.sleep(TOLD_SECONDS)
+                await asyncio.sleep(PUBLISH_SECONDS)
             await found.replace_hosts()
             before = ended()
             for number in range(3):
@@ -149,7 +149,7 @@
             self.assertEqual(200, status)
 
     @run
-    async def test_an_error_of_an_endpoint_says_nothing_for_a_request(self):
+    async def test_an_error_answer_does_not_unblock_a_request(self):
         """An endpoint that fails a part of its requests answers 500 to one that ended three."""
         async with Deployment(pages=("p0", "p1", "p2", "p3")) as found:
             for runner in [*found.pages.values()][:3]:
@@ -202,15 +202,15 @@
     """
 
     @run
-    async def test_it_is_not_sent_when_its_model_is_there(self):
+    async def test_a_request_blocked_while_waiting_is_not_sent_when_its_model_is_ready(self):
         async with Deployment(engines=(*ENGINES[:3], ("e9", ("m1",)))) as found:
-            ended = spoil(found)
+            ended = make_poison_fatal(found)
             host = found.hosts[0]
             await found.until(host.leadership.holds)
             for number in range(2):
                 await found.ask("/recap/", f"bad{number}", "m0", body=POISON)
             self.assertEqual(3, len(ended()))
-            host.blocklist.refusal, refusal = (lambda ask: None), host.blocklist.refusal
+            host.blocklist.refusal, refusal = (lambda req: None), host.blocklist.refusal
             waiting = asyncio.create_task(found.ask("/recap/", "waits", "m0", body=POISON))
             await found.until(lambda: host.peers.waiting)
             host.blocklist.refusal = refusal
@@ -232,7 +232,7 @@
         ("the first four", "|".join(SERIES[:4]), "324", ""),
         ("all of it", "|".join(SERIES), "324 1248", ""),
     )
-    def test_the_request_at_the_most_ends_is_to_blame(self, name, ends, blocked, doubtful):
+    def test_the_request_at_the_most_ends_is_blocked(self, name, ends, blocked, doubtful):
         found = find_poison(frozenset(end.split()) for end in ends.split("|"))
         expected = set(blocked.split()), set(doubtful.split())
         self.assertEqual(expected, (found.blocked, found.doubtful), name)
@@ -281,10 +281,10 @@
         self.first, self.second = self.host("h0"), self.host("h1")
 
     def host(self, name):
-        board = Board(name, 1, self.clock)
+        facts = FactTable(name, 1, self.clock)
         ctx, tries = make_ctx(self.clock, name), name == "h0"
-        found = Blocklist(ctx, board, lambda start, at: True, lambda: tries)
-        found.board = board
+        found = Blocklist(ctx, facts, lambda start, at: True, lambda: tries)
+        found.facts = facts
         return found
 
     def ask(self, content):
@@ -296,8 +296,8 @@
                 host.note_end(self.ask(content), EndpointStart(name, ""))
 
     def share(self, *, to, by):
-        by.tell()
-        to.board.merge(facts_of(by.board))
+        by.publish_changes()
+        to.facts.merge(facts_of(by.facts))
 
     def blocks(self, host, content="p"):
         return host.refusal(self.ask(content)) is not None
@@ -321,7 +321,7 @@
             self.first.note_end(self.ask("p"), EndpointStart("e1", str(born)))
         self.assertTrue(self.blocks(self.first))
 
-    def test_an_answer_speaks_for_a_request_at_all_hosts(self):
+    def test_an_answer_clears_a_request_at_all_hosts(self):
         """A page that many ask for was at three endpoints that failed, and is answered since."""
         self.end(self.first, "e1", "e2", "e3", contents=("p", "x"))
         self.share(to=self.second, by=self.first)
@@ -334,7 +334,7 @@
             self.assertFalse(self.blocks(host, "x"))
             self.assertTrue(self.blocks(host, "p"))
 
-    def test_one_host_tries_what_is_in_doubt_one_at_a_time(self):
+    def test_one_host_tries_doubtful_requests_one_at_a_time(self):
         self.end(self.first, "e1", "e2", "e3", contents=("p", "x"))
         self.share(to=self.second, by=self.first)
         tried = self.ask("x")
@@ -342,11 +342,11 @@
         self.assertIsNone(self.first.refusal(tried))
         for host, content in ((self.first, "x"), (self.first, "p"), (self.second, "x")):
             refusal = host.refusal(self.ask(content))
-            self.assertEqual(TRY_AGAIN_SECONDS, refusal.retry_after)
+            self.assertEqual(TRIAL_RETRY_SECONDS, refusal.retry_after)
         self.clock.advance(TRIAL_SECONDS)
         self.assertIsNone(self.first.refusal(self.ask("x")))
 
-    def test_a_trial_that_ends_an_endpoint_tells_which_one_is_to_blame(self):
+    def test_a_trial_that_ends_an_endpoint_identifies_the_cause(self):
         self.end(self.first, "e1", "e2", "e3", contents=("p", "x"))
         tried = self.ask("p")
         self.assertIsNone(self.first.refusal(tried))
@@ -354,7 +354,7 @@
         self.assertFalse(self.blocks(self.first, "x"))
         self.assertAlmostEqual(BLOCKED_SECONDS, self.first.refusal(tried).retry_after)
 
-    def test_a_block_says_when_it_ends_and_then_one_host_tries(self):
+    def test_a_block_gives_its_remaining_time_and_then_one_host_tries(self):
         self.end(self.first, "e1", "e2", "e3")
         self.share(to=self.second, by=self.first)
         self.clock.advance(60)
@@ -369,85 +369,85 @@
         self.clock.advance(REMEMBERED_SECONDS + 1)
         self.assertFalse(self.blocks(self.first) or self.blocks(self.second))
 
-    def test_what_a_host_remembers_is_bounded(self):
-        for number in range(MOST_ENDS + 50):
+    def test_remembered_ends_are_bounded(self):
+        for number in range(MAX_ENDS + 50):
             self.end(self.first, f"e{number}", contents=("p", f"x{number}"))
             self.clock.advance(0.01)
-        self.assertEqual(MOST_ENDS, len(self.first.ends_of_blocked()))
+        self.assertEqual(MAX_ENDS, len(self.first.ends_of_blocked()))
 
-    def test_a_host_that_joins_later_hears_of_blocked_requests_from_one_that_vouches(self):
+    def test_a_host_that_joins_later_receives_adopted_ends(self):
         self.end(self.first, "e1", "e2", "e3")
         self.share(to=self.second, by=self.first)
-        self.second.vouch(self.second.ends_of_blocked())
+        self.second.adopt(self.second.ends_of_blocked())
         third = self.host("h2")
         self.share(to=third, by=self.second)
         self.assertTrue(self.blocks(third))
 
-    def test_an_ordinary_request_costs_no_id(self):
+    def test_no_content_id_is_computed_without_suspects(self):
         self.end(self.first, "e1", "e2")
         self.assertIsNone(self.first.refusal(SimpleNamespace()))
 
 
-class KeeperTest(unittest.IsolatedAsyncioTestCase):
-    """The row that outlives all hosts, by the keeper of one host after the other."""
+class BlocklistStoreTest(unittest.IsolatedAsyncioTestCase):
+    """The row that outlives all hosts, by the blocklist_store of one host after the other."""
 
     def setUp(self):
         self.clock, self.store = FakeClock(), FakePlatform()
-        self.holds = True
+        self.is_writer = True
 
     def host(self, name):
         ctx = make_ctx(self.clock, name)
-        board = Board(name, 1, self.clock)
-        blocklist = Blocklist(ctx, board, lambda start, at: True, lambda: False)
-        return blocklist, BlocklistKeeper(ctx, self.store, lambda: self.holds, blocklist)
+        facts = FactTable(name, 1, self.clock)
+        blocklist = Blocklist(ctx, facts, lambda start, at: True, lambda: False)
+        return blocklist, BlocklistStore(ctx, self.store, lambda: self.is_writer, blocklist)
 
     def end(self, blocklist, *names, content="p"):
         for name in names:
             blocklist.note_end(SimpleNamespace(content_id=content), EndpointStart(name, ""))
 
-    async def test_the_next_host_knows_what_the_last_one_kept_and_how_old_it_is(self):
-        blocklist, keeper = self.host("h0")
+    async def test_the_next_writer_reads_the_stored_ends_with_their_age(self):
+        blocklist, blocklist_store = self.host("h0")
         self.end(blocklist, "e1", "e2", "e3")
-        await keeper.step()
+        await blocklist_store.step()
         self.clock.advance(100)
-        blocklist, keeper = self.host("h1")
-        await keeper.step()
+        blocklist, blocklist_store = self.host("h1")
+        await blocklist_store.step()
         refusal = blocklist.refusal(SimpleNamespace(content_id="p"))
         self.assertAlmostEqual(BLOCKED_SECONDS - 100, refusal.retry_after)
 
-    async def test_it_writes_once_for_each_request_and_only_as_the_one_to_keep_it(self):
-        blocklist, keeper = self.host("h0")
-        self.holds = False
+    async def test_it_writes_once_for_each_request_and_only_as_the_writer(self):
+        blocklist, blocklist_store = self.host("h0")
+        self.is_writer = False
         self.end(blocklist, "e1", "e2", "e3")
-        await keeper.step()
+        await blocklist_store.step()
         self.assertEqual(0, self.store.writes)
-        self.holds = True
+        self.is_writer = True
         for names, writes in ((["e3"], 1), (["e4"], 1)):
             self.end(blocklist, *names)
-            await keeper.step()
+            await blocklist_store.step()
             self.assertEqual(writes, self.store.writes)
         self.end(blocklist, "f1", "f2", "f3", content="q")
-        await keeper.step()
+        await blocklist_store.step()
         self.assertEqual(2, self.store.writes)
 
-    async def test_a_write_that_fails_is_made_again(self):
+    async def test_a_failed_write_is_retried(self):
         for fault in ("down", "lost"):
             self.setUp()
-            blocklist, keeper = self.host("h0")
+            blocklist, blocklist_store = self.host("h0")
             self.end(blocklist, "e1", "e2", "e3")
             self.store.faults = [fault]
             for _ in range(3):
-                await keeper.step()
+                await blocklist_store.step()
             with self.subTest(fault):
                 self.assertIn(BLOCKED_KEY, self.store.rows)
 
-    async def test_a_row_of_another_writer_is_passed_over_and_written_anew(self):
+    async def test_an_unreadable_row_is_ignored_and_rewritten(self):
         for value in ({}, {"written_at": "x", "ends": []}, {"written_at": 0, "ends": [{"age": 1}]}):
             self.store.rows[BLOCKED_KEY] = Row(value, 1)
-            blocklist, keeper = self.host("h0")
-            await keeper.step()
+            blocklist, blocklist_store = self.host("h0")
+            await blocklist_store.step()
             with self.subTest(value):
                 self.assertEqual([], blocklist.ends_of_blocked())
                 self.end(blocklist, "e1", "e2", "e3")
-                await keeper.step()
+                await blocklist_store.step()
                 self.assertEqual(3, len(self.store.rows[BLOCKED_KEY].value["ends"]))
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -286,7 +286,9 @@
         """Each answer of each endpoint is news for all hosts, and their links are full of it."""
         async with Deployment(hosts=2) as found:
             await burst(found, "/fetch/", "", 0.5)
-            told = [host.peers.board.on(topic) for host in found.hosts for topic in (HEARD, TOLD)]
+            told = [
+                host.peers.board.by_origin(topic) for host in found.hosts for topic in (HEARD, TOLD)
+            ]
             self.assertEqual(
                 [], [row for rows in told for known in rows.values() for row in known.fact.rows]
             )
--- a/tests/relay/test_reach.py
+++ b/tests/relay/test_reach.py
@@ -5,9 +5,9 @@
 
 from nose2.tools import params
 
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.links import SILENT_SECONDS
-from peridotdock.membership import ALONE_SECONDS, PARTED_SECONDS, Membership
+from peridotdock.membership import ISOLATED_SECONDS, DISCONNECTED_SECONDS, Membership
 from peridotdock.relay.reach import Reach
 from peridotdock.schema.messages import HostFact, LinksFact
 from tests.fakes import FakeClock
@@ -27,7 +27,7 @@
 
     def __init__(self, own="h1"):
         self.clock = FakeClock()
-        self.board = Board(own, 1, self.clock)
+        self.board = FactTable(own, 1, self.clock)
         self.peers = set()
         self.heard_at = {}
         self.reach = Reach(
@@ -48,7 +48,7 @@
                 self.peers = set(peers)
 
     def hear(self, host, topic, fact):
-        board = self.boards.setdefault(host, Board(host, 1, self.clock))
+        board = self.boards.setdefault(host, FactTable(host, 1, self.clock))
         board.publish(topic, fact)
         if board is not self.board:
             self.board.merge([board.get(host, topic).entry])
@@ -99,14 +99,14 @@
         self.world.clock.advance(60.0)
         self.world.link(b="ac")
         self.assertIn("d", self.world.live())
-        self.world.clock.advance(PARTED_SECONDS + 0.1)
+        self.world.clock.advance(DISCONNECTED_SECONDS + 0.1)
         self.assertEqual([*"abc"], self.world.live())
 
     async def test_a_host_that_links_to_another_stays(self):
         """A third of the hosts are dropped from callers' answers whenever the hub is lost."""
         self.world.clock.advance(60.0)
         self.world.link(b="ac", d="c", c="b")
-        self.world.clock.advance(PARTED_SECONDS / 2)
+        self.world.clock.advance(DISCONNECTED_SECONDS / 2)
         self.world.link(c="bd")
         self.world.clock.advance(60.0)
         self.assertEqual([*"abcd"], self.world.live())
@@ -115,14 +115,19 @@
         """A host whose own links are lost for a second names itself alone to callers."""
         self.world.clock.advance(60.0)
         self.world.link(a="")
-        self.world.clock.advance(ALONE_SECONDS - 0.1)
+        self.world.clock.advance(ISOLATED_SECONDS - 0.1)
         self.assertEqual([*"abcd"], self.world.live())
         self.world.clock.advance(0.2)
         self.assertEqual(["a"], self.world.live())
 
     @params(
         ("the hub, found silent here", {"a": ""}, SILENT_SECONDS + 0.5, 0.0),
-        ("another, found silent by the hub", {"b": "ac"}, SILENT_SECONDS + 1.0, PARTED_SECONDS),
+        (
+            "another, found silent by the hub",
+            {"b": "ac"},
+            SILENT_SECONDS + 1.0,
+            DISCONNECTED_SECONDS,
+        ),
     )
     def test_a_machine_without_power_is_not_named_for_long(self, name, links, found_after, more):
         """Callers connect to a machine that has been off for six seconds, and wait for nothing.
@@ -166,4 +171,4 @@
             killed = next(h for h in found.hosts if h not in hubs(found))
             found.hosts.remove(killed)
             await killed.stop()
-            await found.until(lambda: all_live(found), seconds=PARTED_SECONDS + 1.5)
+            await found.until(lambda: all_live(found), seconds=DISCONNECTED_SECONDS + 1.5)
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -301,7 +301,7 @@
             async with asyncio.timeout(10):
                 while {*(await listed())["addresses"]} != both:
                     await asyncio.sleep(0.05)
-            found.hosts[1].peers.membership.become("leaving")
+            found.hosts[1].peers.membership.set_state("leaving")
             async with asyncio.timeout(2):
                 while len((await listed())["addresses"]) != 1:
                     await asyncio.sleep(0.05)
--- a/tests/relay/test_views.py
+++ b/tests/relay/test_views.py
@@ -107,7 +107,7 @@
         if not self.cut:
             self.on_way.append((self.clock.monotonic() + self.hop, frame))
 
-    def want_rows(self, table, after):
+    def request_rows(self, table, after):
         found = self.give(RowsWanted("rows_wanted", table, after))
         if found is not None and not self.cut:
             self.on_way.append((self.clock.monotonic() + 2 * self.hop, found))
@@ -127,14 +127,17 @@
     def __init__(self, clock, wire, stored, bound, leads, most_told=MOST_TOLD_BYTES):
         self.tables = FlakyTables(clock, stored)
         mesh = SimpleNamespace(
-            send_rows=wire.send_rows, want_rows=wire.want_rows, on_rows=None, on_wanted=None
+            send_rows=wire.send_rows,
+            request_rows=wire.request_rows,
+            on_rows=None,
+            on_rows_wanted=None,
         )
         peers = SimpleNamespace(mesh=mesh, has_leader=lambda: True)
         self.views = Views(make_ctx(clock, "h1"), self.tables, peers, lambda: leads)
         self.clock, self.seen = clock, {}
         self.follower = self.views.follow("t", self._take, bound, most_told)
         if leads:
-            wire.give = mesh.on_wanted or wire.give
+            wire.give = mesh.on_rows_wanted or wire.give
         else:
             wire.others.append(mesh.on_rows)
         self.task = asyncio.ensure_future(self.follower.run())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,8 +13,8 @@
 from peridotdock.discovery import order_addresses
 from peridotdock.drafts import Copy, EngineView, make_draft
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.fleet import MOST_SENT, EndpointState
-from peridotdock.growth import queue_cost, spread_load
+from peridotdock.fleet import MAX_SENT, EndpointState
+from peridotdock.scaling import queue_cost, spread_load
 from peridotdock.keys import KEPT_PERIODS, PERIOD_SECONDS, KeyTable, Owner, Record, read_owner
 from peridotdock.ledger import State
 from peridotdock.limits import GRANT_SECONDS, CallerLimits
@@ -34,7 +34,7 @@
 
 def state(name, running=0, waiting=0, prefill=0, **more):
     found = EndpointState(name, "", more.pop("domain", "north"))
-    found.take_load(EngineLoad(running, waiting, prefill, 8, 8000.0, 10000), more.pop("at", NOW))
+    found.update_load(EngineLoad(running, waiting, prefill, 8, 8000.0, 10000), more.pop("at", NOW))
     for key, value in more.items():
         setattr(found, key, value)
     return found
@@ -53,7 +53,7 @@
         ("little prefill before much", state("a"), state("b", prefill=8000)),
         ("up before down", state("a", running=8, waiting=9), state("b", down=True)),
         ("staying before leaving", state("a", running=8, waiting=9), state("b", leaving=True)),
-        ("sound before ejected", state("a", running=8), state("b", bad_until=NOW + 1)),
+        ("sound before ejected", state("a", running=8), state("b", excluded_until=NOW + 1)),
         ("fresh before stale", state("a"), state("b", at=NOW - 60)),
     )
     def test_which_one(self, _, better, worse):
@@ -69,7 +69,7 @@
         counts = {"a": 0, "b": 0}
         for number in range(20):
             found = choose(states, wish(), NOW, random.Random(number))
-            found.state.began(f"r{number}", NOW, 800)
+            found.state.note_sent(f"r{number}", NOW, 800)
             counts[found.state.name] += 1
         self.assertLessEqual(abs(counts["a"] - counts["b"]), 2)
 
@@ -81,34 +81,34 @@
         text = "x" * BLOCK_CHARS * 8
         blocks = hash_blocks("m0@1", text)
         warm, cold = state("a"), state("b")
-        warm.remember(blocks, NOW)
+        warm.add_cached_blocks(blocks, NOW)
         self.assertEqual(self.pick(cold, warm, tokens=1024, blocks=blocks).state.name, "a")
         for _ in range(60):
-            warm.learn_hits(1024, 0)
-        self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
+            warm.learn_from_hits(1024, 0)
+        self.assertEqual(warm.count_cached_blocks(blocks, NOW), 0)
 
     def test_hints_last_as_long_as_they_have_proved_to(self):
         """Evictions that nobody told of: after a few misses an old hint counts no more."""
         blocks = hash_blocks("m0@1", "x" * BLOCK_CHARS * 4)
         warm = state("a")
-        warm.remember(blocks, NOW - 20)
-        self.assertEqual(warm.hit_blocks(blocks, NOW), 4)
+        warm.add_cached_blocks(blocks, NOW - 20)
+        self.assertEqual(warm.count_cached_blocks(blocks, NOW), 4)
         for _ in range(3):
-            warm.learn_hits(500, 0)
-        self.assertEqual(warm.hit_blocks(blocks, NOW), 0)
+            warm.learn_from_hits(500, 0)
+        self.assertEqual(warm.count_cached_blocks(blocks, NOW), 0)
 
     def test_what_is_kept_of_an_endpoint_without_reports_is_bounded(self):
         """A plain service sends no reports, so nothing ever says which sends are old news."""
         service = EndpointState("s", "", "north")
-        for number in range(MOST_SENT * 2):
-            service.began(f"r{number}", NOW, 3)
-            service.finished(f"r{number}", NOW, True)
-        self.assertEqual(len(service._sent), MOST_SENT)
-        self.assertEqual(len(service._ended), MOST_SENT)
-        self.assertEqual((service.sent_tokens, service.unfilled_tokens), (MOST_SENT * 3, 0))
+        for number in range(MAX_SENT * 2):
+            service.note_sent(f"r{number}", NOW, 3)
+            service.note_finished(f"r{number}", NOW, True)
+        self.assertEqual(len(service._sent_since_report), MAX_SENT)
+        self.assertEqual(len(service._ended_since_report), MAX_SENT)
+        self.assertEqual((service.tokens_since_report, service.prefill_tokens), (MAX_SENT * 3, 0))
 
     def test_all_ejected_is_not_an_outage(self):
-        found = self.pick(state("a", bad_until=NOW + 9))
+        found = self.pick(state("a", excluded_until=NOW + 9))
         self.assertFalse(failed(found))
 
     def test_none_left(self):
@@ -357,12 +357,12 @@
 
 
 class Placement(unittest.TestCase):
-    def follow(self, accepted, views, demand=(), rounds=60, grow=True):
+    def follow(self, accepted, views, demand=(), rounds=60, allow_additions=True):
         """Carry plans out at once until nothing is left to do; return views and moves."""
         moves = []
         by_name = {view.name: view for view in views}
         for _ in range(rounds):
-            plan = make_plan(accepted, by_name.values(), dict(demand), grow)
+            plan = make_plan(accepted, by_name.values(), dict(demand), allow_additions)
             if not plan.moves:
                 break
             for move in plan.moves:
@@ -372,7 +372,7 @@
             for view in by_name.values():
                 used = [0] * len(view.capacity)
                 for copy in view.copies:
-                    for place in copy.places:
+                    for place in copy.accelerators:
                         used[place] += copy.bytes
                 self.assertTrue(all(u <= c for u, c in zip(used, view.capacity, strict=True)))
         return by_name, moves
@@ -492,7 +492,7 @@
             return
         demand = {f"m{n}@1": rate for n, rate in enumerate(rates[: len(sizes)])}
         start = self.views(accepted)
-        naive, _ = self.follow(accepted, start, grow=False)
+        naive, _ = self.follow(accepted, start, allow_additions=False)
         ours, _ = self.follow(accepted, naive.values(), demand.items())
         cost = self.cost(accepted, ours.values(), demand)
         self.assertLessEqual(cost, self.cost(accepted, naive.values(), demand) + 1e-6)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -95,7 +95,7 @@
                 self.assertNotIn("foreign", str(raw))
                 self.assertTrue(not stream or read_stream(raw)[2])
             self.cluster.engines[0].faults[fault] = False
-            self.cluster.hosts[0].host.fleet.states["e0"].succeeded()
+            self.cluster.hosts[0].host.fleet.states["e0"].note_success()
 
     async def test_a_dead_engine_costs_a_retry_not_an_answer(self):
         await self.cluster.engines[0].served.stop()
@@ -363,7 +363,7 @@
         """A caller gets 500: the last host leaves, and looks for the host that tries among none."""
         async with Cluster(engines=1, hosts=1, services=0, models=1, adapters=0) as cluster:
             host = cluster.hosts[0].host
-            host.membership.become("leaving")
+            host.membership.set_state("leaving")
             asks = [SimpleNamespace(content_id=content) for content in ("p", "x")]
             for number in range(3):
                 for ask in asks:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -18,7 +18,7 @@
 from peridotdock.clients.endpoint import HeldItem
 from peridotdock.controllers import (
     DRAIN_SECONDS,
-    IDLE_SECONDS,
+    IDLE_CHECK_SECONDS,
     RESEND_SECONDS,
     Controller,
     EngineRecord,
@@ -37,20 +37,22 @@
     settle,
 )
 
-BOUND = 30.0
+LATENESS_SECONDS = 30.0
 CAPACITY = (100, 60)
 SIZES = {"m0": 60, "m1": 50, "m2": 40}
 HOSTS = st.sampled_from(["h0", "h1"])
-PAUSES = st.sampled_from([0.1, DRAIN_SECONDS, RESEND_SECONDS, IDLE_SECONDS, BOUND + 1])
+PAUSES = st.sampled_from(
+    [0.1, DRAIN_SECONDS, RESEND_SECONDS, IDLE_CHECK_SECONDS, LATENESS_SECONDS + 1]
+)
 MOVES = st.builds(
-    lambda action, engine, item, place: Move(action, engine, f"{item}@1", (place,)),
+    lambda action, engine, item, index: Move(action, engine, f"{item}@1", (index,)),
     st.sampled_from(["load", "load", "unload"]),
     st.sampled_from(["e0", "e1"]),
     st.sampled_from(sorted(SIZES)),
     st.sampled_from([0, 0, 1]),
 )
-FATES = st.sampled_from(["now", "now", "lost", "late", "unanswered", "twice"])
-COMMITS = st.sampled_from(["ok", "ok", "down", "lost", "late"])
+ORDER_FATES = st.sampled_from(["now", "now", "lost", "late", "unanswered", "twice"])
+COMMIT_FAULTS = st.sampled_from(["ok", "ok", "down", "lost", "late"])
 
 
 class World:
@@ -73,7 +75,7 @@
             self.add_host(name)
 
     def add_host(self, name):
-        ctx = builders.make_ctx(self.clock, name, lateness_seconds=BOUND)
+        ctx = builders.make_ctx(self.clock, name, lateness_seconds=LATENESS_SECONDS)
         self.leases[name] = FakeLease()
         self.controllers[name] = Controller(
             ctx, self.platform, self.endpoints, self.leases[name], self.lease_table
@@ -84,7 +86,7 @@
     def engine(self, name):
         return self.engines[self.accepted.engines[name].url]
 
-    def tend(self, host, moves=()):
+    def reconcile(self, host, moves=()):
         """One round of a host's controller for both engines, with these moves in its plan."""
         controller = self.controllers[host]
         controller.moves = {}
@@ -94,7 +96,7 @@
         async def work():
             controller.read_rows(self.platform.ledger_rows())
             for row in self.accepted.engines.values():
-                await controller.tend(row, True, self.accepted)
+                await controller.reconcile(row, True, self.accepted)
                 await settle()
 
         self.loop.run_until_complete(work())
@@ -109,15 +111,15 @@
 
     fencing = True
 
-    @initialize(fates=st.lists(FATES, max_size=2))
+    @initialize(fates=st.lists(ORDER_FATES, max_size=2))
     def begin(self, fates):
         self.world = World(self.fencing)
         copies = [Move("load", engine, "m0@1", (0,)) for engine in ("e0", "e1")]
         self.world.endpoints.fates = fates
         for _ in range(4):
-            self.world.tend("h0", copies)
+            self.world.reconcile("h0", copies)
             self.world.clock.advance(RESEND_SECONDS)
-        self.lives = {name: s._ctx.incarnation for name, s in self.world.controllers.items()}
+        self.incarnations = {name: s._ctx.incarnation for name, s in self.world.controllers.items()}
 
     def teardown(self):
         if hasattr(self, "world"):
@@ -134,7 +136,7 @@
 
     def plan(self, host, moves, pauses):
         for seconds in pauses:
-            self.world.tend(host, moves)
+            self.world.reconcile(host, moves)
             self.world.clock.advance(seconds)
             self.every_engine_fits()
 
@@ -142,29 +144,29 @@
     def wait(self, seconds):
         self.world.clock.advance(seconds)
 
-    @rule(fates=st.lists(FATES, min_size=1, max_size=4))
-    def trouble_orders(self, fates):
+    @rule(fates=st.lists(ORDER_FATES, min_size=1, max_size=4))
+    def inject_order_faults(self, fates):
         self.world.endpoints.fates = fates
 
-    @rule(commits=st.lists(COMMITS, min_size=1, max_size=4))
-    def trouble_platform(self, commits):
+    @rule(commits=st.lists(COMMIT_FAULTS, min_size=1, max_size=4))
+    def inject_platform_faults(self, commits):
         self.world.platform.faults = commits
 
     @rule()
-    def land_late_writes(self):
+    def apply_late_writes(self):
         self.world.platform.land_late()
 
-    @rule(place=st.integers(0, 5))
-    def deliver_late_order(self, place):
+    @rule(index=st.integers(0, 5))
+    def deliver_late_order(self, index):
         if self.world.endpoints.flying:
-            self.world.endpoints.deliver(place, BOUND)
+            self.world.endpoints.deliver(index, LATENESS_SECONDS)
 
     @rule(host=HOSTS, moves=st.lists(MOVES, max_size=2), pauses=st.lists(PAUSES, max_size=3))
     def hand_over(self, host, moves, pauses):
         """A host is paused, the other one takes over and works; the paused one wakes later."""
         other = "h1" if host == "h0" else "h0"
-        self.world.lease_table.gone.add(self.lives[host])
-        self.world.lease_table.gone.discard(self.lives[other])
+        self.world.lease_table.gone.add(self.incarnations[host])
+        self.world.lease_table.gone.discard(self.incarnations[other])
         self.plan(other, moves, [0.1, *pauses])
 
     @rule(engine=st.sampled_from(["e0", "e1"]))
@@ -208,9 +210,9 @@
         self.world = World(fencing=False)
         self.addCleanup(self.world.close)
 
-    def load(self, item, engine="e0", place=0):
-        self.world.tend("h0", [Move("load", engine, item, (place,))])
-        self.world.tend("h0")
+    def load(self, item, engine="e0", index=0):
+        self.world.reconcile("h0", [Move("load", engine, item, (index,))])
+        self.world.reconcile("h0")
 
     def test_bytes_wait_for_a_late_load_on_an_engine_that_ignores_numbers(self):
         """
@@ -219,23 +221,23 @@
         the bytes given away at once, the accelerator would hold both.
         """
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         world.endpoints.fates = ["late"]
         self.load("m0@1")
         world.clock.advance(RESEND_SECONDS)
         self.load("m0@1")
         self.load("m0@1", "e1")
-        world.tend("h0", [Move("unload", "e0", "m0@1")])
+        world.reconcile("h0", [Move("unload", "e0", "m0@1")])
         world.clock.advance(DRAIN_SECONDS)
-        world.tend("h0")
-        world.tend("h0")
+        world.reconcile("h0")
+        world.reconcile("h0")
         self.assertNotIn("m0@1", world.engine("e0").items)
         self.load("m1@1")
         self.assertNotIn("m1@1", world.engine("e0").items)
-        world.endpoints.deliver(0, BOUND)
+        world.endpoints.deliver(0, LATENESS_SECONDS)
         self.assertTrue(world.engine("e0").fits())
 
-    def test_a_load_taken_back_before_it_arrived_keeps_its_bytes_until_it_is_fenced(self):
+    def test_a_revoked_load_that_has_not_arrived_keeps_its_bytes_until_it_is_fenced(self):
         """
         A load is on its way when the plan changes. The engine's list does not show the item, but
         the load can still arrive, until the engine has answered an order with a newer number.
@@ -244,51 +246,51 @@
         world = World(fencing=True)
         self.addCleanup(world.close)
         self.world = world
-        world.tend("h0")
+        world.reconcile("h0")
         self.load("m0@1", "e1")
         world.endpoints.fates = ["late"]
-        world.tend("h0", [Move("load", "e0", "m0@1", (0,))])
+        world.reconcile("h0", [Move("load", "e0", "m0@1", (0,))])
         for _ in range(3):
-            world.tend("h0", [Move("unload", "e0", "m0@1")])
+            world.reconcile("h0", [Move("unload", "e0", "m0@1")])
         world.endpoints.fates = ["late"]
-        world.tend("h0", [Move("load", "e0", "m1@1", (0,))])
+        world.reconcile("h0", [Move("load", "e0", "m1@1", (0,))])
         while world.endpoints.flying:
-            world.endpoints.deliver(0, BOUND)
+            world.endpoints.deliver(0, LATENESS_SECONDS)
         self.assertTrue(world.engine("e0").fits(), world.engine("e0").items)
 
-    def test_bytes_are_given_away_once_the_bound_has_passed(self):
+    def test_bytes_are_freed_once_the_lateness_bound_has_passed(self):
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         self.load("m0@1")
         self.load("m0@1", "e1")
-        world.tend("h0", [Move("unload", "e0", "m0@1")])
+        world.reconcile("h0", [Move("unload", "e0", "m0@1")])
         world.clock.advance(DRAIN_SECONDS)
-        for seconds in (0, 0, BOUND, 0):
+        for seconds in (0, 0, LATENESS_SECONDS, 0):
             world.clock.advance(seconds)
-            world.tend("h0")
+            world.reconcile("h0")
         self.load("m1@1")
         self.assertIn("m1@1", world.engine("e0").items)
 
     def test_an_item_nobody_ordered_is_charged(self):
         world = self.world
         world.engine("e0").items["stray@1"] = HeldItem([0], 70, True)
-        world.tend("h0")
+        world.reconcile("h0")
         self.load("m1@1")
         self.assertNotIn("m1@1", world.engine("e0").items)
 
     def test_an_engine_that_restarts_empty_gets_its_items_back_in_place(self):
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         self.load("m0@1")
         world.engine("e0").restart()
-        world.clock.advance(IDLE_SECONDS)
+        world.clock.advance(IDLE_CHECK_SECONDS)
         for _ in range(3):
-            world.tend("h0")
+            world.reconcile("h0")
         self.assertIn("m0@1", world.engine("e0").items)
 
     def test_nothing_is_sent_while_the_platform_is_down(self):
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         world.platform.down = True
         self.load("m0@1")
         self.assertEqual(world.engine("e0").items, {})
@@ -299,24 +301,24 @@
         says that the first write was ours: the load goes on, once.
         """
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         world.platform.faults = ["lost"]
         self.load("m0@1")
         self.assertEqual(world.engine("e0").used(), [60, 0])
         row = world.platform.ledger_rows()["e0"]
         self.assertEqual(len(ledgers.read_ledger(row.value).reservations), 1)
 
-    def test_a_woken_controller_changes_nothing_under_an_old_term(self):
+    def test_a_resumed_controller_changes_nothing_under_an_old_term(self):
         """
         A host is paused; its lease lapses and another host becomes controller and fills the engine.
         The paused one wakes and still believes in its lease. Its write must not go through.
         """
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         world.lease_table.gone.add(world.controllers["h0"]._ctx.incarnation)
-        world.tend("h1")
-        world.tend("h1", [Move("load", "e0", "m0@1", (0,))])
-        world.tend("h0", [Move("load", "e0", "m1@1", (0,))])
+        world.reconcile("h1")
+        world.reconcile("h1", [Move("load", "e0", "m0@1", (0,))])
+        world.reconcile("h0", [Move("load", "e0", "m1@1", (0,))])
         self.assertEqual(set(world.engine("e0").items), {"m0@1"})
         self.assertNotIn("e0", world.controllers["h0"].records)
 
@@ -327,13 +329,13 @@
         self.addCleanup(self.world.close)
 
     def run_rounds(self, host, moves=(), count=4):
-        self.world.tend(host, moves)
+        self.world.reconcile(host, moves)
         for _ in range(count):
             self.world.clock.advance(DRAIN_SECONDS)
-            self.world.tend(host)
+            self.world.reconcile(host)
 
     def test_the_only_copy_is_not_unloaded_whatever_the_plan_says(self):
-        self.world.tend("h0")
+        self.world.reconcile("h0")
         self.run_rounds("h0", [Move("load", "e0", "m0@1", (0,))])
         self.run_rounds("h0", [Move("unload", "e0", "m0@1")])
         self.assertIn("m0@1", self.world.engine("e0").items)
@@ -344,28 +346,28 @@
         to unload one each; each controller has seen the other's copy. One copy must stay.
         """
         world = self.world
-        world.tend("h0")
+        world.reconcile("h0")
         self.run_rounds("h0", [Move("load", e, "m0@1", (0,)) for e in ("e0", "e1")])
         rows = world.platform.ledger_rows()
-        taken = world.controllers["h0"].records.pop("e1")
-        ledger = ledgers.take_over(taken.ledger, world.controllers["h1"]._ctx.incarnation)
+        record = world.controllers["h0"].records.pop("e1")
+        ledger = ledgers.take_over(record.ledger, world.controllers["h1"]._ctx.incarnation)
         key = ledgers.row_key("e1")
         world.platform.rows[key] = type(rows["e1"])(ledger.to_value(), rows["e1"].version)
         other = world.controllers["h1"]
-        other.records["e1"] = EngineRecord(taken.endpoint, ledger, rows["e1"].version)
+        other.records["e1"] = EngineRecord(record.endpoint, ledger, rows["e1"].version)
 
         async def both():
             for host, engine in (("h0", "e0"), ("h1", "e1")):
                 controller = world.controllers[host]
                 controller.read_rows(rows)
                 controller.moves = {engine: [Move("unload", engine, "m0@1")]}
-                await controller.tend(world.accepted.engines[engine], True, world.accepted)
+                await controller.reconcile(world.accepted.engines[engine], True, world.accepted)
 
         world.loop.run_until_complete(both())
         for _ in range(4):
             world.clock.advance(DRAIN_SECONDS)
-            world.tend("h0")
-            world.tend("h1")
+            world.reconcile("h0")
+            world.reconcile("h1")
         held = ["m0@1" in world.engine(name).items for name in ("e0", "e1")]
         self.assertIn(True, held)
 
@@ -380,17 +382,17 @@
         ("held already", "there@1", 10, (0,), Kind.CONFLICT),
         ("beside another", "m0@1", 61, (1,), Kind.NO_ROOM),
     )
-    def test_reserve(self, _, item, size, places, expected):
+    def test_reserve(self, _, item, size, accelerators, expected):
         ledger = ledgers.reserve(Ledger("e0"), (100, 60), "there@1", 40, (0,))
-        outcome = ledgers.reserve(ledger, (100, 60), item, size, places)
+        outcome = ledgers.reserve(ledger, (100, 60), item, size, accelerators)
         self.assertEqual(outcome.kind if failed(outcome) else None, expected)
 
-    @params(*ledgers.SEEN)
-    def test_no_sight_alone_frees_bytes(self, state, sight):
+    @params(*ledgers.TRANSITIONS)
+    def test_no_single_report_frees_bytes(self, state, presence):
         row = ledgers.Reservation("m0@1", state, 40, (0,), 1)
         ledger = Ledger("e0", reservations=(row,), order=1)
-        held = {ledgers.Sight.READY: True, ledgers.Sight.PARTIAL: False}
-        items = {"m0@1": HeldItem([0], 40, held[sight])} if sight in held else {}
+        held = {ledgers.Presence.READY: True, ledgers.Presence.PARTIAL: False}
+        items = {"m0@1": HeldItem([0], 40, held[presence])} if presence in held else {}
         report = FakeEngine((100,), True).report()
         report.items.update(items)
         after = ledgers.observe(ledger, report)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -18,7 +18,7 @@
 
 from peridotdock import logs, publishing
 from peridotdock import manifest as manifests
-from peridotdock.board import Board
+from peridotdock.fact_table import FactTable
 from peridotdock.config import load_settings
 from peridotdock.errors import ANSWERS, Failure, Kind, Ran, failed
 from peridotdock.events import Filter, HybridClock, Timeline
@@ -29,9 +29,9 @@
     encode_entry,
     encode_update,
     make_entry,
-    proves,
+    verify_proof,
     read_body,
-    sign,
+    make_proof,
 )
 from peridotdock.requests import OUTCOMES, State, admit_maybe
 from peridotdock.schema.messages import (
@@ -101,7 +101,7 @@
         raw = cbor2.dumps({"kind": "ping", "sequence": 1})
         self.assertEqual(decode(raw), Ping("ping", 1))
 
-    def test_a_large_fact_is_told_in_few_bytes(self):
+    def test_a_large_fact_is_sent_deflated(self):
         """Half of what 195 hosts say to each other is the news of engines, told whole.
 
         It names the same models and adapters for engine after engine.
@@ -116,7 +116,7 @@
         self.assertEqual([replace(entry, age=7)], frame.entries)
         self.assertEqual(fact, msgspec.convert(read_body(frame.entries[0]), OrdersFact))
 
-    def test_a_small_fact_is_told_as_it_is(self):
+    def test_a_small_fact_is_sent_as_it_is(self):
         entry = make_entry("h1", "heads", 1, 1, HeadsFact(1, "d"))
         self.assertEqual((False, heads_entry().body), (entry.deflated, entry.body))
 
@@ -130,17 +130,17 @@
             read_body(replace(ENTRY, body=body, deflated=True))
 
     def test_a_proof_is_for_one_nonce_and_one_host(self):
-        hello = Hello("hello", "h0", "h0-1", b"", sign("key", b"nonce", "h0"))
-        self.assertTrue(proves("key", b"nonce", hello))
-        self.assertFalse(proves("key", b"other", hello))
-        self.assertFalse(proves("other", b"nonce", hello))
+        hello = Hello("hello", "h0", "h0-1", b"", make_proof("key", b"nonce", "h0"))
+        self.assertTrue(verify_proof("key", b"nonce", hello))
+        self.assertFalse(verify_proof("key", b"other", hello))
+        self.assertFalse(verify_proof("other", b"nonce", hello))
         other = Hello("hello", "h1", "h1-1", b"", hello.proof)
-        self.assertFalse(proves("key", b"nonce", other))
+        self.assertFalse(verify_proof("key", b"nonce", other))
 
 
-class Boards(unittest.TestCase):
+class FactTables(unittest.TestCase):
     def setUp(self):
-        self.board = Board("h0", 1, FakeClock())
+        self.facts = FactTable("h0", 1, FakeClock())
 
     @params(
         ("newer version", (1, 2), True),
@@ -150,23 +150,23 @@
         ("an old life, far on", (0, 99), False),
     )
     def test_which_fact_is_newer(self, _, stamp, taken):
-        self.board.merge([heads_entry()])
-        changed = self.board.merge([heads_entry("h1", *stamp)])
+        self.facts.merge([heads_entry()])
+        changed = self.facts.merge([heads_entry("h1", *stamp)])
         self.assertEqual(bool(changed), taken)
 
-    def test_nobody_states_our_own_facts(self):
-        self.assertEqual(self.board.merge([heads_entry("h0", 99, 99)]), [])
+    def test_facts_of_the_own_host_are_not_merged(self):
+        self.assertEqual(self.facts.merge([heads_entry("h0", 99, 99)]), [])
 
     @LIMITED
     @given(st.permutations([(1, 1), (1, 2), (2, 1), (2, 5), (3, 0)]))
     def test_any_order_ends_the_same(self, stamps):
         for stamp in stamps:
-            self.board.merge([heads_entry("h1", *stamp)])
-        entry = self.board.get("h1", "heads").entry
+            self.facts.merge([heads_entry("h1", *stamp)])
+        entry = self.facts.get("h1", "heads").entry
         self.assertEqual((entry.epoch, entry.version), (3, 0))
 
 
-class WildPeers(unittest.IsolatedAsyncioTestCase):
+class MalformedPeers(unittest.IsolatedAsyncioTestCase):
     async def test_bad_frames_close_their_link_and_harm_nothing_else(self):
         """
         Something that is no host connects and sends rubbish, too much, or nothing. Its connection
@@ -197,7 +197,7 @@
         self.assertEqual(set(ANSWERS), set(Kind))
 
     @params(*OUTCOMES.items())
-    def test_not_run_is_never_said_after_a_send(self, key, kind):
+    def test_not_run_is_never_reported_after_a_send(self, key, kind):
         state, _ = key
         sent = state in (State.SENT, State.FIRST_BYTE)
         self.assertEqual(ANSWERS[kind].ran is not Ran.NO, sent)
@@ -219,12 +219,12 @@
         second.witness(sent)
         self.assertGreater(second.tick(), sent)
 
-    def test_a_wild_clock_does_not_drag_ours_along(self):
+    def test_an_implausible_stamp_does_not_advance_the_local_clock(self):
         clock = FakeClock()
-        ours = HybridClock(clock)
-        before = ours.tick()
-        ours.witness(before + (10**9 << 16))
-        self.assertLess(ours.tick(), before + (10**6 << 16))
+        local = HybridClock(clock)
+        before = local.tick()
+        local.witness(before + (10**9 << 16))
+        self.assertLess(local.tick(), before + (10**6 << 16))
 
     def test_the_ring_is_bounded_and_filtered(self):
         timeline = Timeline("h0", FakeClock(), 10)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -95,15 +95,15 @@
         await self.cluster.publish()
         stale = self.cluster.hosts[0].host
         await stale.jobs.stop()
-        stale.want = lambda head: None
+        stale.on_head = lambda head: None
         await self.cluster.publish(self.cluster.manifest(), host=1, wait=False)
         new = await self.cluster.add_host("h9")
         seen = []
         put = new.host.put_in_force
         new.host.put_in_force = lambda found: (seen.append(found.generation), put(found))
         await wait_for(lambda: new.host.accepted and new.host.accepted.generation == 2)
-        stale.board.publish("heads", stale.board.get("h0", "heads").fact)
-        await wait_for(lambda: new.host.board.get("h0", "heads"))
+        stale.facts.publish("heads", stale.facts.get("h0", "heads").fact)
+        await wait_for(lambda: new.host.facts.get("h0", "heads"))
         self.assertEqual(new.host.accepted.generation, 2)
         self.assertEqual(seen, sorted(seen))
 
@@ -203,7 +203,11 @@
             left_at = asyncio.get_running_loop().time()
             await wait_for(
                 lambda: len(
-                    [m for m in cluster.hosts[1].host.membership.members().values() if m.takes_work]
+                    [
+                        m
+                        for m in cluster.hosts[1].host.membership.members().values()
+                        if m.accepts_work
+                    ]
                 )
                 == 1,
                 "left the answers",
@@ -301,7 +305,7 @@
             beat = second.membership.own.beat
             await wait_for(lambda: second.membership.own.beat > beat)
             await wait_for(
-                lambda: (k := first.board.get("h1", "host")) and k.fact.beat > beat, "news"
+                lambda: (k := first.facts.get("h1", "host")) and k.fact.beat > beat, "news"
             )
 
     async def test_hosts_that_called_each_other_dead_link_again(self):
