--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -164,7 +164,7 @@
         await self.look()
         for _ in range(100):
             self.clock.advance(0.1)
-            if self.lease_table.lapsed("h0-life1") is not None:
+            if self.lease_table.prove_lapsed("h0-life1") is not None:
                 self.assertFalse(self.lease.valid())
                 return
         self.fail("never lapsed")
@@ -177,7 +177,7 @@
         await self.lease.renew(self.platform)
         await self.look()
         self.clock.advance(10)
-        checks = self.lease_table.lapsed("h0-life1")
+        checks = self.lease_table.prove_lapsed("h0-life1")
         self.assertIsNotNone(checks)
         await self.lease.renew(self.platform)
         outcome = await self.platform.commit(Transaction(checks, {"ledger/e0": {}}))
@@ -186,17 +186,17 @@
     async def test_an_earlier_life_of_a_host_is_over_at_once(self):
         await HostLease("h0", "h0-life2", 6.0, self.clock).renew(self.platform)
         await self.look()
-        self.assertIsNotNone(self.lease_table.lapsed("h0-life1"))
-        self.assertIsNone(self.lease_table.lapsed("h0-life2"))
+        self.assertIsNotNone(self.lease_table.prove_lapsed("h0-life1"))
+        self.assertIsNone(self.lease_table.prove_lapsed("h0-life2"))
 
     async def test_nothing_has_lapsed_before_the_first_look(self):
-        self.assertIsNone(self.lease_table.lapsed("h9-life1"))
+        self.assertIsNone(self.lease_table.prove_lapsed("h9-life1"))
 
     async def test_a_lease_given_up_needs_no_waiting(self):
         await self.lease.renew(self.platform)
-        await self.lease.give_up(self.platform)
+        await self.lease.release(self.platform)
         await self.look()
-        self.assertIsNotNone(self.lease_table.lapsed("h0-life1"))
+        self.assertIsNotNone(self.lease_table.prove_lapsed("h0-life1"))
         self.assertFalse(self.lease.valid())
 
 
