--- a/peridotdock/core.py
+++ b/peridotdock/core.py
@@ -48,9 +48,9 @@
         clock, cfg = self.ctx.clock, self.ctx.cfg
         started_at = clock.monotonic()
         self.ctx.timeline.add("leaving")
-        self.host.membership.become("leaving")
+        self.host.membership.set_state("leaving")
         await self._wait_until(lambda: False, started_at + cfg.address_seconds)
-        self.host.membership.become("gone")
+        self.host.membership.set_state("gone")
         done = await self._wait_until(
             lambda: self.entry.in_flight == 0, started_at + cfg.stop_seconds
         )
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -51,7 +51,7 @@
         It is sent again only while its deadline, the retry budget and the block list allow it, and
         after a send that may have run only when it may run twice.
         """
-        key = self._fleet.servable(req.profile.item)
+        key = self._fleet.find_servable(req.profile.item)
         if key != req.profile.item:
             req = replace(req, profile=replace(req.profile, item=key))
         self._count_demand(req)
@@ -114,9 +114,9 @@
     def _record_failure(self, req: ModelRequest, state: EndpointState, outcome: Failure) -> None:
         now = self._ctx.clock.monotonic()
         if outcome.kind is Kind.ENDPOINT_REFUSED:
-            state.refused(outcome, now)
+            state.note_rejection(outcome, now)
         elif outcome.kind in RETRY_KINDS:
-            state.failed_at(now)
+            state.note_failure(now)
         self._ctx.timeline.add(
             "attempt_failed",
             outcome.answer.level,
@@ -131,8 +131,8 @@
     ) -> Reply | Failure:
         state = choice.state
         now = self._ctx.clock.monotonic()
-        state.began(req.request_id, now, req.profile.tokens - choice.cached)
-        state.remember(req.profile.blocks, now)
+        state.note_sent(req.request_id, now, req.profile.tokens - choice.cached)
+        state.add_cached_blocks(req.profile.blocks, now)
         relay = StreamRelay(self._ctx, self._endpoints, state, req, caller)
         body_returned = False
         try:
@@ -157,7 +157,7 @@
             return Reply(200, (("x-request-id", req.request_id),), body, EVENT_STREAM)
         finally:
             if not body_returned:
-                state.finished(req.request_id, self._ctx.clock.monotonic(), False)
+                state.note_finished(req.request_id, self._ctx.clock.monotonic(), False)
                 await relay.release()
 
     async def _open(
@@ -264,8 +264,8 @@
                 return checked
             self._record_cache_hits(req, choice, checked.usage)
         now = self._ctx.clock.monotonic()
-        state.succeeded()
-        state.finished(req.request_id, now, whole=True)
+        state.note_success()
+        state.note_finished(req.request_id, now, whole=True)
         if opened.status == 200:
             self._blocklist.note_answer(req)
         content_type = opened.headers.get("content-type", "application/json")
@@ -277,11 +277,11 @@
     ) -> None:
         """Compare the expected number of cached tokens with the number that the engine reports."""
         if usage is not None and req.profile.blocks:
-            choice.state.learn_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
+            choice.state.learn_from_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
 
     def _record_first_token(self, req: ModelRequest, choice: Choice, began: float) -> None:
-        choice.state.filled(req.request_id)
-        choice.state.succeeded()
+        choice.state.note_first_token(req.request_id)
+        choice.state.note_success()
         seconds = self._ctx.clock.monotonic() - began
         label = self._ctx.metrics.item_label(req.profile.item)
         self._ctx.metrics.first_token.labels(label).observe(seconds)
@@ -310,7 +310,7 @@
                 yield frame
         finally:
             self._ctx.metrics.tokens.inc(count)
-            state.finished(req.request_id, self._ctx.clock.monotonic(), relay.whole)
+            state.note_finished(req.request_id, self._ctx.clock.monotonic(), relay.whole)
             if relay.whole:
                 self._blocklist.note_answer(req)
             self._record_cache_hits(req, choice, relay.usage)
--- a/peridotdock/relay/endpoint_notices.py
+++ b/peridotdock/relay/endpoint_notices.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Iterable
 
-from peridotdock.board import Known, Slot
+from peridotdock.fact_table import KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.relay.requests import AnswerHead, RelayRequest
 from peridotdock.relay.endpoint import EndpointState, AnnouncedLimit
@@ -64,7 +64,7 @@
         any more takes back what it told: a new link would give it out as new.
         """
         for topic in (RECEIVED_TOPIC, PUBLISHED_TOPIC):
-            for known in self._peers.facts.on(topic).values():
+            for known in self._peers.facts.by_origin(topic).values():
                 self._merge(known)
         announced = [state for state in self._fleet.states.values() if has_notice(state)]
         if self._peers.is_hub():
@@ -111,7 +111,7 @@
         if any(changed) and self._peers.is_hub():
             self.publish()
 
-    def _merge(self, known: Known) -> bool:
+    def _merge(self, known: KnownFact) -> bool:
         """Take in words that are newer than what this host knows, and tell of a change."""
         changed = False
         for row in known.fact.rows:
--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -12,7 +12,7 @@
 from peridotdock.deployment import Deployment
 from peridotdock.errors import failed
 from peridotdock.jobs import Jobs
-from peridotdock.keeping import KEEP_SECONDS, BlocklistKeeper
+from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.relay.item_waits import ItemWaits
 from peridotdock.relay.adapter import Adapter
 from peridotdock.relay.choosing import Chooser
@@ -147,7 +147,7 @@
         )
         self.blocklist_due = asyncio.Event()
         self.blocklist.on_blocked = self.blocklist_due.set
-        self.blocklist_store = BlocklistKeeper(
+        self.blocklist_store = BlocklistStore(
             ctx, self.store, self.leadership.holds, self.blocklist
         )
         engines = adapter.open_engines(self.endpoints)
@@ -202,7 +202,7 @@
             "demand",
         )
         every(self.lag.check_interval, self.lag.check, "lag")
-        every(lambda: KEEP_SECONDS, self.blocklist_store.step, "block list", self.blocklist_due)
+        every(lambda: CHECK_SECONDS, self.blocklist_store.step, "block list", self.blocklist_due)
         every(self._lease_seconds, self._step_lease, "lease", self.lease_due)
         self._tasks.append(asyncio.create_task(self._order()))
         self.ctx.timeline.add("started", detail=str(self.settings.listen.callers))
@@ -231,7 +231,7 @@
 
     def _publish_interval(self, min_seconds: float, factor: float = 1.0) -> float:
         """Return the time until the next word to the hub, which takes in so many a second."""
-        return max(min_seconds, factor * len(self.peers.facts.on("host")) / HUB_FACTS_PER_SECOND)
+        return max(min_seconds, factor * len(self.peers.facts.by_origin("host")) / HUB_FACTS_PER_SECOND)
 
     async def _publish_work(self) -> None:
         self.peers.publish_work()
@@ -240,7 +240,7 @@
         self.quotas.publish()
         self.notices.publish()
         self.permits.refresh()
-        self.blocklist.tell()
+        self.blocklist.publish_changes()
         self.views.publish_unchanged()
 
     async def _publish_runs(self) -> None:
@@ -365,7 +365,7 @@
         """Tell other hosts whether callers may be sent here: what readiness says, in short."""
         if self.leaving or self.front.deployment is None:
             return
-        self.peers.membership.become("live" if self._ready() else "starting")
+        self.peers.membership.set_state("live" if self._ready() else "starting")
 
     def _set_deployment(self, found: Deployment) -> None:
         """Serve by this configuration from now on, never by an older one again."""
@@ -425,11 +425,11 @@
         began = clock.monotonic()
         self.leaving = True
         self.ctx.timeline.add("leaving")
-        self.peers.membership.become("leaving")
+        self.peers.membership.set_state("leaving")
         await self.leadership.release()
         await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_CACHE_FACTOR, bounds.stopping / 2))
         until = began + bounds.stopping - STOP_MARGIN_SECONDS
         while self.front.in_progress and clock.monotonic() < until:
             await clock.sleep(DRAIN_POLL_SECONDS)
-        self.peers.membership.become("gone")
+        self.peers.membership.set_state("gone")
         self.ctx.timeline.add("stopped", detail=f"{self.front.in_progress} requests left")
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from functools import lru_cache
 
-from peridotdock.board import Board, Known, Slot
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.decisions.draft import Demand
 from peridotdock.decisions.quotas import host_share
@@ -64,7 +64,7 @@
         self._ctx = ctx
         self._settings = settings
         self._fleet = fleet
-        self.facts = Board(settings.host, ctx.epoch, ctx.clock)
+        self.facts = FactTable(settings.host, ctx.epoch, ctx.clock)
         self.mesh = Mesh(ctx, self.facts, give_body, self._choose_links, self._select_links)
         self._lease_holder = ""
         self._linked_hub = ""
@@ -79,7 +79,8 @@
             int(settings.can_be_hub),
         )
         reach = Reachability(
-            self.facts, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_heard
+            self.facts, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_received
+        
         )
         self.membership = Membership(self.facts, own, ctx.clock, reach)
         self.demand_meter = DemandMeter(DEMAND_PEAK_SECONDS)
@@ -96,7 +97,7 @@
     async def start(self) -> None:
         """Open the links."""
         await self.mesh.start()
-        self.membership.become("starting")
+        self.membership.set_state("starting")
         self.link()
 
     def link(self) -> None:
@@ -114,7 +115,7 @@
         hub = self._hub()
         if hub != self._linked_hub:
             self._linked_hub = hub
-            self.mesh.offer_again(hub, self._settings.host)
+            self.mesh.resend_facts(hub, self._settings.host)
         if hub in self.mesh.peers():
             self.mesh.keep_only(hub)
 
@@ -218,7 +219,7 @@
         rows = self.membership.members().items()
         return [name for name, row in rows if row.fact.state != "gone"]
 
-    def _apply_loads(self, known: Known) -> None:
+    def _apply_loads(self, known: KnownFact) -> None:
         """Take in the work of all hosts on endpoints, less what this one has told of its own."""
         own = self.facts.get(self._settings.host, "work")
         own_work = decode_work(own.fact) if own is not None else {}
@@ -246,12 +247,12 @@
             self.facts.publish("loads", fact)
 
     def _apply_orders(self) -> None:
-        rows = self.facts.on("orders").items()
+        rows = self.facts.by_origin("orders").items()
         origin, known = max(rows, key=lambda row: max(row[1].fact.term, row[1].fact.resigned))
         newest = known.fact
         if newest.term and origin != self._lease_holder:
             self._lease_holder = origin
-            self.mesh.offer_again(origin)
+            self.mesh.resend_facts(origin)
         self._fleet.apply_updates(newest.engines, known.at)
         self.on_term(newest.term)
         if newest.resigned:
@@ -260,7 +261,7 @@
     def has_lease_holder(self) -> bool:
         """Tell whether a live host that this one hears says that it orders engines."""
         live, linked = self.membership.members(), self._linked_hosts()
-        for origin, known in self.facts.on("orders").items():
+        for origin, known in self.facts.by_origin("orders").items():
             member = live.get(origin)
             in_contact = member is not None and member.alive and origin in linked
             if known.fact.term and (in_contact or origin == self._settings.host):
@@ -349,7 +350,7 @@
     def holder_loads(self, term: int) -> dict[str, list[float]] | None:
         """Return how old the loads are that the holder of a term told of, None if it told none."""
         now = self._ctx.clock.monotonic()
-        for known in self.facts.on("orders").values():
+        for known in self.facts.by_origin("orders").values():
             if term in (known.fact.term, known.fact.resigned):
                 past = now - known.at
                 return {
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -54,7 +54,7 @@
         self._followed: dict[str, FollowedTable] = {}
         self.hide_keys: HideKeys = lambda table, rows: rows
         peers.mesh.on_rows = self._receive
-        peers.mesh.on_wanted = self._answer_rows_wanted
+        peers.mesh.on_rows_wanted = self._answer_rows_wanted
 
     def follow(
         self,
@@ -70,7 +70,7 @@
         follower = Follower(self._ctx, self._tables, table, apply_rows, lambda: rest, limits)
         follower.must_read = self._must_read
         follower.publish = lambda found, after: self._publish(table, found, after)
-        follower.request_rows = lambda after: self._peers.mesh.want_rows(table, after)
+        follower.request_rows = lambda after: self._peers.mesh.request_rows(table, after)
         follower.on_call_lost = lambda: self._send_unchanged(table)
         self._followed[table] = FollowedTable(follower, bound, max_published_bytes)
         return follower
--- a/peridotdock/routing.py
+++ b/peridotdock/routing.py
@@ -42,25 +42,25 @@
 
 def is_usable(state: EndpointState, now: float) -> bool:
     """Return whether an endpoint takes new requests and has not failed recently."""
-    return accepts_requests(state, now) and state.bad_until <= now
+    return accepts_requests(state, now) and state.excluded_until <= now
 
 
 def accepts_requests(state: EndpointState, now: float) -> bool:
     """Return whether an endpoint takes new requests, even if it failed recently."""
-    return not state.down and not state.leaving and state.rests_until <= now
+    return not state.down and not state.leaving and state.backoff_until <= now
 
 
 def find_retry_delay(
     candidates: Sequence[EndpointState], now: float, minimum: float = UNLOADED_RETRY_SECONDS
 ) -> float:
     """Return the retry delay when no endpoint takes requests: until the first backoff ends."""
-    rests = [s.rests_until - now for s in candidates if not s.down and not s.leaving]
+    rests = [s.backoff_until - now for s in candidates if not s.down and not s.leaving]
     return max(minimum, min(rests, default=0.0))
 
 
 def expect_cached(state: EndpointState, profile: RoutingProfile, now: float) -> int:
     """Return the expected number of cached prompt tokens, scaled by the trust in cache hints."""
-    hits = state.hit_blocks(profile.blocks, now) * BLOCK_TOKENS
+    hits = state.count_cached_blocks(profile.blocks, now) * BLOCK_TOKENS
     return min(profile.tokens, int(hits * state.trust))
 
 
@@ -88,10 +88,12 @@
     load = state.load
     if not corrected:
         return load.running + load.waiting, float(load.prefill)
-    in_system = max(len(state.own), load.running + load.waiting + state.changed_since)
+    in_system = max(
+        len(state.own_requests), load.running + load.waiting + state.net_sent_since_report
+    )
     elapsed = max(0.0, now - state.load_at)
-    left = max(0.0, load.prefill + state.sent_tokens - elapsed * load.prefill_rate)
-    own = float(state.unfilled_tokens)
+    left = max(0.0, load.prefill + state.tokens_since_report - elapsed * load.prefill_rate)
+    own = float(state.prefill_tokens)
     return in_system, max(left, own if elapsed < FRESH_SECONDS else min(own, left))
 
 
@@ -133,7 +135,7 @@
     chosen = rng.sample(states, SAMPLE_SIZE)
     if profile.blocks and len(states) <= MAX_PREFIX_SCAN:
         first = profile.blocks[0]
-        chosen += [state for state in states if first in state.blocks][:SAMPLE_SIZE]
+        chosen += [state for state in states if first in state.cached_blocks][:SAMPLE_SIZE]
     return list(dict.fromkeys(chosen))
 
 
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -289,7 +289,7 @@
         async with Deployment(hosts=2) as found:
             await burst(found, "/fetch/", "", 0.5)
             told = [
-                host.peers.facts.on(topic)
+                host.peers.facts.by_origin(topic)
                 for host in found.hosts
                 for topic in (RECEIVED_TOPIC, PUBLISHED_TOPIC)
             ]
