--- a/peridotdock/platform/endpoints.py
+++ b/peridotdock/platform/endpoints.py
@@ -69,16 +69,16 @@
 REPORT = msgspec.json.Decoder(ReportRow)
 
 
-def decode_endpoint(incarnation: str, raw: bytes) -> EndpointEntry | Failure:
+def decode_endpoint(endpoint_id: str, raw: bytes) -> EndpointEntry | Failure:
     """Read the row in which an endpoint registered itself; the row's key is its id."""
     try:
         row = ENTRY.decode(raw)
         parse_address(row.address)
     except BAD_ROW as exc:
-        return Failure(Kind.BAD_REQUEST, f"entry {incarnation}: {type(exc).__name__}: {exc}")
+        return Failure(Kind.BAD_REQUEST, f"entry {endpoint_id}: {type(exc).__name__}: {exc}")
     at_hand = row.at_hand or AtHandRow()
     return EndpointEntry(
-        endpoint_id=incarnation,
+        endpoint_id=endpoint_id,
         service=row.service,
         address=row.address,
         domain=row.zone,
--- a/peridotdock/platform/wire.py
+++ b/peridotdock/platform/wire.py
@@ -96,7 +96,7 @@
             return RequestHead(
                 attempt_id=named[ATTEMPT],
                 host=named.get("host", "").partition(":")[0].lower(),
-                seconds=read_milliseconds(named.get(DEADLINE)),
+                timeout_seconds=read_milliseconds(named.get(DEADLINE)),
                 resume_after=named.get(RESUME, ""),
                 inference=read_wish(named),
                 headers=tuple((name, value) for name, value in rows if name not in dropped),
@@ -114,7 +114,7 @@
             headers[WORKSPACE] = req.identity.workspace.name
         headers["host"] = req.head.host
         headers[TARGET] = options.endpoint_id
-        headers[DEADLINE] = str(max(1, int(options.seconds * 1000)))
+        headers[DEADLINE] = str(max(1, int(options.remaining_seconds * 1000)))
         if req.head.inference is not None:
             headers[PRIORITY] = str(options.priority)
         if options.resume_after:
--- a/peridotdock/relay/adapter.py
+++ b/peridotdock/relay/adapter.py
@@ -1,4 +1,4 @@
-"""What a relaying host needs of a platform's adapter."""
+"""The interface that a platform adapter implements for a relaying host."""
 
 from typing import Any, Protocol
 
@@ -15,7 +15,7 @@
 
 
 class Adapter(Protocol):
-    """One platform's names, formats and calls."""
+    """Table names, wire format and store and engine clients of one platform."""
 
     wire: Wire
     config_table: str
@@ -23,19 +23,19 @@
     endpoint_table: str
 
     def open_store(self, address: Address, metrics: Metrics, time: StoreTime) -> Tables | Any:
-        """Return the platform's store."""
+        """Return a client for the platform's table store at ``address``."""
 
     def decode_deployment(self, raw: bytes) -> Deployment | Failure:
-        """Read the operators' configuration."""
+        """Decode the configuration row that the operators write."""
 
     def hide_keys(self, table: str, rows: dict[str, bytes | None]) -> dict[str, bytes | None]:
-        """Return rows of a table as other hosts are told them: callers' keys as digests."""
+        """Return table rows for other hosts, with callers' keys replaced by digests."""
 
-    def decode_endpoint(self, incarnation: str, raw: bytes) -> EndpointEntry | Failure:
-        """Read an endpoint's entry; a failure for one that names no endpoint."""
+    def decode_endpoint(self, endpoint_id: str, raw: bytes) -> EndpointEntry | Failure:
+        """Decode an endpoint's entry; return a failure if it does not describe an endpoint."""
 
     def open_engines(self, endpoints: HttpEndpoints) -> Engines:
-        """Return the platform's engines."""
+        """Return a client for the engines' control calls."""
 
     def write_addresses(self, addresses: list[str], seconds: float) -> bytes:
-        """Return the answer to where to connect."""
+        """Encode the response body that lists host addresses, valid for ``seconds``."""
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -1,4 +1,4 @@
-"""What one send brought: a whole answer, or a stream with its first events."""
+"""Results of one send: a complete answer, or a stream with its first events."""
 
 import asyncio
 import math
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """A whole answer of an endpoint."""
+    """A complete answer of an endpoint, with its body."""
 
     state: EndpointState
     head: AnswerHead
@@ -27,25 +27,24 @@
 
     @property
     def is_server_error(self) -> bool:
-        """Tell whether the endpoint answered with a failure of its own."""
+        """Whether the endpoint reported a failure of its own, by status 500 or above."""
         return self.head.status >= SERVER_ERROR
 
 
 def no_extension() -> float:
-    """Return that a wait is not prolonged."""
+    """Return 0: the wait is not extended."""
     return 0.0
 
 
 class StallTimeout:
-    """Ends waits that last too long, with one timer for many short waits.
+    """Limits many short waits with one timer.
 
-    An event of a stream comes each 20 ms, and a wait of seconds for each is begun and given up as
-    often. The timer stays as it is, and when it fires looks for whether the wait of that moment is
-    over.
+    A stream has an event every 20 ms, and each of them starts and ends a wait of some seconds. The
+    timer is not set anew for each wait: when it fires, it checks the deadline of the current one.
     """
 
-    def __init__(self, give_up: Callable[[], None]):
-        self._on_timeout = give_up
+    def __init__(self, on_timeout: Callable[[], None]):
+        self._on_timeout = on_timeout
         self._loop = asyncio.get_running_loop()
         self._deadline = math.inf
         self._extra_seconds: Callable[[], float] = no_extension
@@ -54,7 +53,7 @@
         self.extended = False
 
     def begin(self, seconds: float, extra_seconds: Callable[[], float]) -> None:
-        """Begin a wait; ``more`` gives the seconds to wait on for when it is over, 0 for none."""
+        """Start a wait; ``extra_seconds`` returns by how long to extend it once, or 0."""
         self.extended = False
         self._extra_seconds = extra_seconds
         self._wait(seconds)
@@ -68,7 +67,7 @@
             self._timer = self._loop.call_at(self._deadline, self._check)
 
     def end(self) -> None:
-        """Note that what was waited for has come."""
+        """End the wait without a timeout."""
         self._deadline = math.inf
 
     def close(self) -> None:
@@ -78,7 +77,10 @@
             self._timer.cancel()
 
     def _check(self) -> None:
-        """Wait on, or end the wait one turn later: after what was read in this one."""
+        """Set the timer again, or end the wait one iteration later.
+
+        Data that is read in the current iteration is handled first.
+        """
         self._timer = None
         if self._deadline <= self._loop.time():
             self._loop.call_soon(self._end, self._deadline)
@@ -99,9 +101,9 @@
 
 @dataclass
 class StreamSource:
-    """One endpoint's part of a stream. ``ready`` are whole events that were not passed on yet.
+    """One endpoint's part of a stream. ``ready`` holds complete events not yet passed on.
 
-    ``began`` is when its first events came (monotonic seconds).
+    ``started_at`` is when the first events arrived (monotonic seconds).
     """
 
     state: EndpointState
@@ -113,7 +115,7 @@
     started_at: float = 0.0
 
     def __post_init__(self) -> None:
-        """Prepare to give up on an endpoint that is silent."""
+        """Set up the timeout that aborts the connection to a silent endpoint."""
         self._stall_timeout = StallTimeout(self.opened.abort)
 
     async def fill(
@@ -123,12 +125,11 @@
         silent: bool,
         extra_seconds: Callable[[], float] = no_extension,
     ) -> Failure | None:
-        """Read until there are whole events or the stream has ended.
+        """Read until there are complete events or the stream has ended.
 
-        ``silent`` tells what it means when ``seconds`` pass: the endpoint's silence or the
-        deadline. ``more`` is asked then for the seconds until the deadline, where the endpoint is
-        to be waited for all the same. An endpoint may stop in the middle of an event: that is a
-        cut, not an end.
+        ``silent`` tells what the end of ``seconds`` is reported as: a silent endpoint, or the
+        deadline. ``extra_seconds`` is called then and returns the seconds until the deadline if the
+        wait goes on. A stream that ends in the middle of an event is a cut answer, not an end.
         """
         self._stall_timeout.begin(seconds, extra_seconds)
         try:
@@ -150,16 +151,16 @@
         return None
 
     def pop_ready(self) -> list[StreamEvent]:
-        """Return the events that are ready, each once."""
+        """Return the ready events and remove them."""
         ready, self.ready = self.ready, []
         return ready
 
     def abort(self, _: object = None) -> None:
-        """Close the connection: the endpoint stops its work when it sees the close."""
+        """Close the connection; the endpoint stops the request when it sees the close."""
         self.opened.abort()
 
     async def close(self, caller: CallerConnection) -> None:
-        """End this part; a connection that was not read to its end is closed."""
+        """Release the connection, which is closed if it was not read to the end."""
         self._stall_timeout.close()
         caller.disconnected.remove_done_callback(self.abort)
         await self.opened.release()
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -1,4 +1,4 @@
-"""Finding the endpoint that one send of a request goes to."""
+"""Chooses the endpoint for one send of a request."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -18,12 +18,12 @@
 from peridotdock.requests import Loss, State, lose
 from peridotdock.turns import find_turns
 
-# Seconds until a caller may come back when no endpoint has what it asks for.
+# Retry-after in seconds when no endpoint has the requested item.
 NO_ENDPOINT_RETRY_SECONDS = 0.5
 
 
 class Chooser:
-    """Chooses endpoints on one host, by the hub's word where prompts are paced."""
+    """Chooses endpoints on one host, following the hub's grants where prompts are paced."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
     async def choose_endpoint(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Prediction | Failure:
-        """Choose an endpoint, after waiting for one where none can serve the request yet."""
+        """Choose an endpoint; wait for one if none can serve the request yet."""
         refusal = await self._waits.wait_until_usable(req, caller, progress)
         if refusal is not None:
             return refusal
@@ -62,7 +62,10 @@
         return found
 
     def _candidates(self, req: RelayRequest, progress: Progress) -> list[Candidate]:
-        """Return the endpoints not tried yet, or all: one that cut a stream may still have it."""
+        """Return the endpoints not tried yet, or all of them if none is left.
+
+        An endpoint that cut a stream may still be able to resume it.
+        """
         states = self._fleet.usable(progress.service, req.head.inference)
         avoid = frozenset(progress.avoid)
         if all(state.key in avoid for state in states):
@@ -72,7 +75,7 @@
     async def _request_grant(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> GrantedEndpoint | Failure | None:
-        """Ask when a prompt may be sent and to whom; None where this host is to choose."""
+        """Request a grant for a prompt from the hub; None if this host chooses itself."""
         candidates = self._candidates(req, progress)
         accepting = [row for row in candidates if not row.rest]
         if req.head.inference is None or not accepting:
@@ -85,7 +88,7 @@
     def _use_grant(
         self, grant: GrantedEndpoint, req: RelayRequest, progress: Progress
     ) -> Prediction | None:
-        """Return the endpoint that the hub named, unless this host knows that it can't serve."""
+        """Return the granted endpoint, or None if this host knows that it can't serve."""
         inference = req.head.inference
         state = self._fleet.states.get(grant.endpoint)
         if state is None or state not in self._fleet.usable(progress.service, inference):
@@ -100,9 +103,9 @@
     async def _choose_locally(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Prediction | Failure:
-        """Choose by what this host knows, of the endpoints that take a request of it now.
+        """Choose among the endpoints that accept requests now, by this host's own state.
 
-        One that has named a limit needs a permit.
+        An endpoint with an announced limit needs a permit.
         """
         while not caller.is_disconnected():
             rows = self._candidates(req, progress)
@@ -125,7 +128,7 @@
     def _choose_among(
         self, candidates: Sequence[Candidate], req: RelayRequest, progress: Progress
     ) -> Prediction | Failure:
-        """Choose one of some endpoints, and turn away what would wait for too long."""
+        """Choose among ``candidates``; reject the request if it would wait for too long."""
         work = self._fleet.work(progress.service, req.head.inference)
         found = choose(candidates, work, self._ctx.rng)
         if found is None:
@@ -139,6 +142,6 @@
 
 
 def find_suspects(candidates: Sequence[Candidate]) -> set[str]:
-    """Return the endpoints that failed this host lately, unless all have."""
+    """Return the candidates that failed recently on this host, or none if all did."""
     suspects = {candidate.key for candidate in candidates if candidate.suspect}
     return suspects if len(suspects) < len(candidates) else set()
--- a/peridotdock/relay/events.py
+++ b/peridotdock/relay/events.py
@@ -1,4 +1,4 @@
-"""Splitting a streamed answer into whole events, so that none is passed on in part."""
+"""Splits a streamed answer into complete events, so that none is passed on in part."""
 
 import re
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event as it came, with its blank line; ``id`` is None when it has none."""
+    """One complete event as received, with its blank line; ``id`` is None if it has none."""
 
     id: int | None
     raw: bytes
 
 
 class EventSplitter:
-    """Collects bytes and gives whole events; what is left in ``partial`` is part of one."""
+    """Buffers bytes and returns complete events; ``partial`` holds the incomplete one."""
 
     def __init__(self) -> None:
         self.partial = b""
 
     def feed(self, part: bytes) -> list[StreamEvent]:
-        """Take in bytes and return the events that are whole now."""
+        """Add bytes and return the events that are complete now."""
         data = self.partial + part
         events = []
         begin = 0
@@ -35,7 +35,7 @@
 
 
 def read_id(raw: bytes) -> int | None:
-    """Return the number in an event's id field."""
+    """Return the number in an event's id field, or None."""
     found = ID_FIELD.search(raw)
     if found is None:
         return None
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -1,7 +1,7 @@
-"""Asking the hub when a prompt may be sent, and to which engine; and the hub's answers.
+"""Grants of the hub: when a prompt may be sent, and to which engine.
 
-The hub hears of every prompt, so it alone knows what each engine has to read. Nothing hangs on it:
-a host that gets no word from it in time chooses for itself.
+The hub receives the requests for all prompts, so it alone knows each engine's prefill backlog.
+Serving does not depend on it: a host without a reply in time chooses an engine itself.
 """
 
 import asyncio
@@ -32,36 +32,36 @@
 from peridotdock.schema.messages import GrantDropped, GrantWanted
 from peridotdock.turns import Turns
 
-# Seconds that the hub's first word may take, and turns of this host's loop beside: two trips
-# between failure domains and the hub's own turn.
+# Timeout of the hub's first reply: seconds, plus iterations of this host's loop. Covers two trips
+# between failure domains and one loop iteration of the hub.
 GRANT_TIMEOUT_SECONDS = 0.03
 GRANT_TIMEOUT_ITERATIONS = 3
-# Seconds for which a hub is not asked that gave no word, and at most, as it doubles.
+# Seconds without calls to a hub that did not reply; doubles from the minimum to the maximum.
 MIN_HUB_BACKOFF_SECONDS = 0.25
 MAX_HUB_BACKOFF_SECONDS = 2.0
-# Seconds between two looks whether the hub that holds a queued prompt is still there.
+# Seconds between two checks that the host with the queued prompt is still the hub.
 HUB_CHECK_SECONDS = 0.2
-# Seconds between the sending of a prompt and its first token besides reading: a step of the engine,
-# the way there and back, and to the caller.
+# Seconds from sending a prompt to its first token besides prefill: one engine step, the round trip
+# to the engine, and the way to the caller.
 FIRST_TOKEN_OVERHEAD_SECONDS = 0.03
-# Seconds after which a caller whose prompt waits for too long may come back, at least and at most.
+# Minimum and maximum of retry-after in seconds for a denied prompt.
 MIN_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 4.0
-# Spread of that time, so that those that were turned away together don't come back together.
+# Jitter of retry-after, so that callers denied together do not retry together.
 RETRY_JITTER_SHARE = 0.5
 
-# Seconds over which what is held back is averaged, and the step of prompt tokens that is told.
+# Seconds over which queued prompt tokens are averaged, and the step in which they are reported.
 QUEUED_AVERAGE_SECONDS = 2.0
 QUEUED_STEP_TOKENS = 500
 
 SendFrame = Callable[[str, GrantFrame], None]
-# Gives the seconds until an endpoint may get a request, and between two; 0 without a limit.
+# Returns the seconds until an endpoint's next permit and between permits, 0 without a limit.
 PermitWaits = Callable[[EndpointState], tuple[float, float]]
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedGrant:
-    """What a host asked for: where the answer goes, and who may serve the prompt."""
+    """A prompt in the hub's queue; the grant goes to ``host`` with ``number``."""
 
     host: str
     number: int
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedEndpoint:
-    """The endpoint that a prompt is to be sent to, and the seconds of reading before it there."""
+    """The endpoint of a granted prompt, and the seconds of prefill ahead of it there."""
 
     endpoint: str
     ahead: float
 
 
 class GrantServer:
-    """The hub's part: the queue of prompts of all hosts, by service."""
+    """The hub's queues of all hosts' prompts, one per service."""
 
     def __init__(
         self, ctx: Context, fleet: RelayFleet, send: SendFrame, find_domain: Callable[[str], str]
@@ -97,12 +97,12 @@
         self.permit_waits: PermitWaits = lambda state: (0.0, 0.0)
         self.spend_permit: Callable[[EndpointState], None] = lambda state: None
 
-    def take_deployment(self, deployment: Deployment) -> None:
-        """Take in the shortest pause that each service's streams may have."""
+    def set_deployment(self, deployment: Deployment) -> None:
+        """Set each service's allowed pause between stream events from a new configuration."""
         self._pauses = shortest_pauses(deployment)
 
     def limit(self, service: str) -> PaceLimit:
-        """Return how much a service's engines may be given; nothing is bound without a pause."""
+        """Return the pace limit of a service's engines; no limit without an allowed pause."""
         pause = self._pauses.get(service)
         if pause is None:
             return PaceLimit(0.0, math.inf)
@@ -113,7 +113,7 @@
         return self._pace_controls.setdefault(service, PaceControl())
 
     def note_gap(self, service: str, key: str, gap: float) -> None:
-        """Learn from the time between two events of a stream of this host's own."""
+        """Adjust the pace by the seconds between two events of one of this host's streams."""
         pacer, pause = self._pacers.get(service), self._pauses.get(service)
         if pacer is not None and pause is not None:
             limit = self.limit(service)
@@ -122,7 +122,7 @@
             self._control(service).note_gap(now, gap, pause, given, limit)
 
     def enqueue(self, host: str, frame: GrantWanted) -> None:
-        """Take a host's prompt into the queue, and answer at once where it can be."""
+        """Queue a host's prompt; reply at once, with the decision or that it is queued."""
         now = self._ctx.clock.monotonic()
         if len(frame.parts) != len(frame.part_tokens):
             self._ctx.timeline.add("bad_frame", "WARNING", detail=f"{host}: parts without tokens")
@@ -145,13 +145,13 @@
             self._send(host, GrantFrame("grant", frame.number, "", 0))
 
     def drop(self, host: str, frame: GrantDropped) -> None:
-        """Forget a prompt that its host does not wait for any more."""
+        """Remove a prompt that its host no longer waits for."""
         queued = self._queued_grants.pop((host, frame.number), None)
         if queued is not None:
             self._pacers[queued.service].drop((host, frame.number))
 
     def queued(self) -> dict[str, int]:
-        """Return the prompt tokens that are held back, by model, over some seconds."""
+        """Return the queued prompt tokens by model, averaged over some seconds."""
         now = self._ctx.clock.monotonic()
         tokens: dict[str, int] = {}
         for queued in self._queued_grants.values():
@@ -206,13 +206,13 @@
         return [self._with_permit(row) if row.limited else row for row in rows]
 
     def _with_permit(self, row: Candidate) -> Candidate:
-        """Return an endpoint that has named a limit with when it may get a prompt."""
+        """Return a candidate that has a rate limit, with its permit waits filled in."""
         wait, gap = self.permit_waits(self._fleet.states[row.key])
         return replace(row, permit_wait=wait, permit_gap=gap)
 
 
 class GrantCall:
-    """A prompt that this host has asked the hub for: it is told that it waits, or decided on."""
+    """A call to the hub for a grant; replies report it as queued, granted or denied."""
 
     def __init__(self, hub: str, number: int):
         self.hub = hub
@@ -220,13 +220,13 @@
         self._reply: asyncio.Future[GrantFrame] = asyncio.get_running_loop().create_future()
 
     def on_reply(self, reply: GrantFrame) -> None:
-        """Take the hub's word; a newer one takes the place of one that was not looked at."""
+        """Store the hub's reply; a newer one replaces one that was not read yet."""
         if self._reply.done():
             self._reply = asyncio.get_running_loop().create_future()
         self._reply.set_result(reply)
 
     async def next_reply(self, caller: CallerConnection, seconds: float) -> GrantFrame | None:
-        """Return the next word, or None when the time passes or the caller leaves."""
+        """Return the next reply, or None after ``seconds`` or a disconnect of the caller."""
         if not self._reply.done():
             await asyncio.wait(
                 {self._reply, caller.disconnected},
@@ -241,7 +241,7 @@
 
 
 class Grants:
-    """This host's part: asks the hub, and waits for its word."""
+    """Requests grants from the hub and waits for its replies."""
 
     def __init__(
         self,
@@ -265,7 +265,7 @@
         self._backoff_until = 0.0
 
     def on_frame(self, host: str, frame: GrantWanted | GrantFrame | GrantDropped) -> None:
-        """Take a frame of another host."""
+        """Handle a frame of another host."""
         if isinstance(frame, GrantWanted):
             self.server.enqueue(host, frame)
         elif isinstance(frame, GrantDropped):
@@ -287,7 +287,7 @@
     async def request_grant(
         self, req: RelayRequest, service: str, avoid: frozenset[str], caller: CallerConnection
     ) -> GrantedEndpoint | Failure | None:
-        """Return the endpoint to send a prompt to, or None where this host is to choose itself."""
+        """Return the endpoint for a prompt, or None if this host must choose itself."""
         hub = self._find_hub()
         if hub != self._host and self._ctx.clock.monotonic() < self._backoff_until:
             return None
@@ -314,7 +314,7 @@
         )
 
     def _deliver(self, hub: str, frame: GrantWanted | GrantDropped) -> bool:
-        """Pass a frame to the hub, which may be this host; false where there is no way to it."""
+        """Send a frame to the hub, which may be this host; false if it can't be reached."""
         if hub != self._host:
             return self._send(hub, frame)
         self.on_frame(hub, frame)
@@ -323,7 +323,7 @@
     async def _wait_for_decision(
         self, call: GrantCall, req: RelayRequest, caller: CallerConnection
     ) -> GrantFrame | None:
-        """Return the hub's decision; None when it is silent, or gone while the prompt is queued."""
+        """Return the hub's decision; None without a reply or if the hub changes meanwhile."""
         reply = await call.next_reply(
             caller, GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._turns.usual()
         )
@@ -340,27 +340,29 @@
         return reply
 
     def _deny(self, wait: int) -> Failure:
-        """Turn a prompt away, with the time after which those before it have been read."""
+        """Refuse a prompt; retry-after covers the prefill of the prompts ahead of it."""
         spread = 1 + RETRY_JITTER_SHARE * (self._ctx.rng.random() - 0.5)
         seconds = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait / 1000 * spread))
         return Failure(Kind.OVERLOADED, f"a wait of {wait / 1000:.2f} s at all engines", seconds)
 
     def _note_silence(self, hub: str) -> None:
-        """Leave a silent hub alone for a while: each prompt would wait for its word in vain."""
+        """Back off from a hub that does not reply, so that prompts don't each wait in vain."""
         self._backoff_until = self._ctx.clock.monotonic() + self._backoff
-        self._ctx.timeline.add("hub_silent", "WARNING", detail=f"{hub}, for {self._backoff:.2f} s")
+        self._ctx.timeline.add(
+            "hub_silent", "WARNING", detail=f"{hub}, not called for {self._backoff:.2f} s"
+        )
         self._backoff = min(MAX_HUB_BACKOFF_SECONDS, 2 * self._backoff)
 
 
 def is_decided(reply: GrantFrame) -> bool:
-    """Tell whether a prompt is granted or denied, and not queued."""
+    """Whether a prompt is granted or denied, and not queued."""
     return bool(reply.endpoint) or reply.wait > 0
 
 
 def write_wanted(
     number: int, req: RelayRequest, service: str, avoid: frozenset[str], now: float
 ) -> GrantWanted:
-    """Return the frame that asks for a prompt."""
+    """Return the frame that requests a grant for a prompt."""
     inference = req.head.inference
     return GrantWanted(
         "grant_wanted",
@@ -379,14 +381,14 @@
 
 
 def read_inference(frame: GrantWanted) -> InferenceSpec:
-    """Return what a frame asks for."""
+    """Return the model work that a grant request names."""
     rows = zip(frame.parts, frame.part_tokens, strict=True)
     parts = tuple(PromptPart(name, tokens) for name, tokens in rows)
     return InferenceSpec(frame.model, frame.adapter, frame.tokens, 0, parts)
 
 
 def shortest_pauses(deployment: Deployment) -> dict[str, float]:
-    """Return the shortest pause that streams of each service may have."""
+    """Return the smallest allowed pause between stream events of each service, in seconds."""
     found: dict[str, float] = {}
     for prefixes in deployment.routes.values():
         for route in prefixes.values():
--- a/peridotdock/relay/hub_calls.py
+++ b/peridotdock/relay/hub_calls.py
@@ -1,4 +1,4 @@
-"""Questions of this host to the hub that wait for its word, one word each."""
+"""Calls from this host to the hub, each with one reply."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 from peridotdock.turns import Turns
 
 T = TypeVar("T")
-# Seconds that the hub's word may take, and turns of this host's loop beside: two trips between
-# failure domains and the hub's own turn.
+# Timeout of a reply: seconds, plus iterations of this host's loop. Covers two trips between failure
+# domains and one loop iteration of the hub.
 REPLY_TIMEOUT_SECONDS = 0.05
 REPLY_TIMEOUT_ITERATIONS = 3
 
 
 class HubCalls(Generic[T]):
-    """The questions of one kind that are open, by number."""
+    """The pending calls of one kind, by number."""
 
     def __init__(self, turns: Turns):
         self._turns = turns
@@ -25,9 +25,10 @@
     async def call(
         self, send: Callable[[int], bool], caller: CallerConnection | None = None
     ) -> T | None:
-        """Send a question by its number, and return the word.
+        """Send a call with a new number by ``send``, and return the reply.
 
-        None when none comes in time, the caller leaves, or ``send`` finds no way to the hub.
+        Return None without a reply in time, if the caller disconnects, or if ``send`` returns false
+        because the hub can't be reached.
         """
         self._last_number += 1
         number = self._last_number
@@ -45,7 +46,7 @@
         return reply.result() if reply.done() else None
 
     def on_reply(self, number: int, reply: T) -> None:
-        """Take the hub's word; nobody waits for one that comes too late."""
+        """Pass a reply to its call; a reply after the timeout is dropped."""
         found = self._pending.get(number)
         if found is not None and not found.done():
             found.set_result(reply)
--- a/peridotdock/relay/identity.py
+++ b/peridotdock/relay/identity.py
@@ -1,4 +1,4 @@
-"""Who sends a request: the workspace that holds its key, as far as this host can know."""
+"""Identifies the workspace of a request by the caller's key."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,14 @@
 from peridotdock.relay.requests import Identity, RequestHead
 from peridotdock.relay.settings import Bounds
 
-# Seconds until a caller may come back to a host whose configuration is old.
+# Retry-after in seconds when the host's configuration is stale.
 STALE_CONFIG_RETRY_SECONDS = 0.5
 
 
 class Identifier:
     """Finds the workspaces of requests on one host.
 
-    ``config_age`` gives the seconds since the configuration was known to be the newest one.
+    ``config_age`` returns the seconds since the configuration was known to be the newest.
     """
 
     def __init__(self, bounds: Bounds, config_age: Callable[[], float]):
@@ -24,11 +24,11 @@
     def identify(
         self, deployment: Deployment, route: Route, head: RequestHead
     ) -> Identity | Failure:
-        """Return who sends a request, or why it is not served.
+        """Return the sender of a request, or the reason for which it is refused.
 
-        A host whose configuration is old can't tell a key that is unknown from one that is new, so
-        it sends the caller elsewhere. Where operators are strict it does so with all keys: one of
-        them may have been revoked meanwhile.
+        With a stale configuration an unknown key may be a new one, so the caller is sent to another
+        host. With ``revoke_strict`` this applies to all keys once the configuration is older than
+        the revocation bound: any of them may have been revoked meanwhile.
         """
         workspaces = deployment.workspaces
         if not workspaces:
--- a/peridotdock/relay/item_waits.py
+++ b/peridotdock/relay/item_waits.py
@@ -1,4 +1,4 @@
-"""Requests that wait until some endpoint can serve them."""
+"""Holds requests until some endpoint has the model, adapter or service that they need."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 from peridotdock.relay.peers import Peers
 from peridotdock.requests import Loss, State, lose
 
-# Seconds between two looks for an endpoint while nothing changes: one that could not be reached is
-# tried again after a pause, which is no change of the entries.
+# Seconds between two checks for an endpoint while no entry changes: an endpoint that could not be
+# reached becomes usable again after a pause, without a change of its entry.
 CHECK_SECONDS = 0.25
-# Seconds that a request waits for an endpoint of a plain service that has none.
+# Seconds for which a request waits for an endpoint of a plain service that has none.
 PLAIN_SERVICE_WAIT_SECONDS = 1.0
 # Seconds for which a refused request still counts as waiting for its model. Failure guarded
-# against: no request can wait as long as a load takes, so all are refused at once, nobody waits,
-# and the model is never loaded.
+# against: no request can wait for as long as a load takes, so all are refused at once, none counts
+# as waiting, and the model is never loaded.
 REFUSED_DEMAND_SECONDS = 3.0
 
 
 class ItemWaits:
-    """Holds requests until what they need is there, and tells the other hosts what that is."""
+    """Holds requests until their item is available, and publishes the items in demand."""
 
     def __init__(self, ctx: Context, fleet: RelayFleet, peers: Peers):
         self._ctx = ctx
@@ -36,7 +36,7 @@
     async def wait(
         self, req: RelayRequest, service: str, caller: CallerConnection
     ) -> Failure | None:
-        """Wait until the request can be sent; the failure says why it can't be."""
+        """Wait until the request can be sent; return a failure if it can't be."""
         inference = req.head.inference
         absence = self._describe(req, service, inference)
         found = decide(absence)
@@ -62,7 +62,7 @@
                 )
 
     def _log_wait(self, req: RelayRequest, item: str, absence: Absence, found: Wait) -> None:
-        """Log whether the request waits, and what was known of what it waits for."""
+        """Log whether the request waits, and the expected time until its item is available."""
         coming = "unknown" if absence.coming is None else f"in {absence.coming:.2f} s"
         self._ctx.timeline.add(
             "waits" if found.seconds > 0 else "waits_not",
@@ -125,5 +125,5 @@
 
 
 def name_item(service: str, inference: InferenceSpec | None) -> str:
-    """Return the name under which a model or adapter is asked for."""
+    """Return the demand name of a request: the model or adapter, else the service."""
     return service if inference is None else name_wish(inference)
--- a/peridotdock/relay/lag.py
+++ b/peridotdock/relay/lag.py
@@ -1,4 +1,4 @@
-"""What a host sees of its own state: how late its loop is, its connections, its descriptors."""
+"""Monitors a host's event loop lag, new connections and file descriptors."""
 
 import os
 import resource
@@ -10,37 +10,38 @@
 from peridotdock.decisions.overload import BEHIND_SECONDS, HostState, Trouble, judge_host
 from peridotdock.turns import Turns
 
-# Seconds between two looks, and between two log lines while a host stays behind.
+# Seconds between two checks.
 CHECK_SECONDS = 1.0
-# The same while the host is behind or takes nothing new, so that callers have it back soon after
-# its calm shows.
+# The same while the loop is late or the host rejects new requests, so that the host serves callers
+# again soon after it has recovered.
 OVERLOADED_CHECK_SECONDS = 0.2
+# Seconds between two log lines while the host stays overloaded.
 LOG_INTERVAL_SECONDS = 5.0
 DESCRIPTORS_PATH = "/proc/self/fd"
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorCount:
-    """Open descriptors and the most that the process may have."""
+    """The number of open descriptors and the process's limit."""
 
     open: int
     limit: int
 
     @property
     def free(self) -> int:
-        """Return how many more can be opened."""
+        """Return how many more descriptors can be opened."""
         return self.limit - self.open
 
 
 class CountDescriptors(Protocol):
-    """Counts descriptors; None where the system doesn't tell."""
+    """Counts descriptors; returns None if the system does not report them."""
 
     def __call__(self) -> DescriptorCount | None:
-        """Return the count."""
+        """Return the count, or None if it is unknown."""
 
 
 def count_descriptors() -> DescriptorCount | None:
-    """Count the process's descriptors."""
+    """Count the process's open descriptors in /proc/self/fd; None if it can't be read."""
     try:
         used = len(os.listdir(DESCRIPTORS_PATH))
     except OSError:
@@ -49,19 +50,19 @@
 
 
 class HostMonitor:
-    """Looks at the loop each second, for the metrics and the log."""
+    """Checks the event loop each second, and updates metrics, log and overload state."""
 
     def __init__(
         self,
         ctx: Context,
         turns: Turns,
-        in_work: Callable[[], int],
+        in_progress: Callable[[], int],
         descriptors: CountDescriptors = count_descriptors,
     ):
         self._ctx = ctx
         self._turns = turns
         turns.long = BEHIND_SECONDS
-        self._in_progress = in_work
+        self._in_progress = in_progress
         self.count = descriptors
         self._accepted = 0
         self._checked_at = ctx.clock.monotonic()
@@ -73,12 +74,12 @@
         ctx.metrics.loop_lag.set_function(turns.lag)
 
     def check_interval(self) -> float:
-        """Return the seconds until the next look."""
-        calm = self.trouble is None and self._behind_since is None
-        return CHECK_SECONDS if calm else OVERLOADED_CHECK_SECONDS
+        """Return the seconds until the next check."""
+        healthy = self.trouble is None and self._behind_since is None
+        return CHECK_SECONDS if healthy else OVERLOADED_CHECK_SECONDS
 
     async def check(self) -> None:
-        """Take the figures of the last second, and log them while the host is behind."""
+        """Update the metrics since the last check, and log them while the host is overloaded."""
         now = self._ctx.clock.monotonic()
         lag = self._turns.lag()
         self.descriptors = self.count()
@@ -94,7 +95,7 @@
         self._log_overload(now, lag, accepted / seconds)
 
     def _update_overload(self, now: float, lag: float) -> None:
-        """Tell whether this host can take anything new; ``trouble`` says why not."""
+        """Set ``trouble`` to the reason for which this host rejects new requests, or None."""
         was_behind = self._behind_since is not None
         if lag < BEHIND_SECONDS:
             self._behind_since = None
@@ -112,9 +113,9 @@
             self._ctx.timeline.add("loop_caught_up", detail=f"a timer was {lag:.3f} s late")
 
     def _log_overload(self, now: float, lag: float, accepted: float) -> None:
-        """Log the state of a host that is behind or can take nothing new."""
-        calm = lag < BEHIND_SECONDS and self.trouble is None
-        if calm or now - self._logged_at < LOG_INTERVAL_SECONDS:
+        """Log the state while the loop is late or the host rejects new requests."""
+        healthy = lag < BEHIND_SECONDS and self.trouble is None
+        if healthy or now - self._logged_at < LOG_INTERVAL_SECONDS:
             return
         self._logged_at = now
         self._ctx.timeline.add(
@@ -126,7 +127,7 @@
 
 
 def describe(count: DescriptorCount | None) -> str:
-    """Return the state of descriptors for a log line."""
+    """Format a descriptor count for a log line."""
     if count is None:
         return "descriptors unknown"
     return f"{count.open} of {count.limit} descriptors"
--- a/peridotdock/relay/node.py
+++ b/peridotdock/relay/node.py
@@ -360,8 +360,8 @@
             return
         self.front.deployment = found
         self.room.deployment = found
-        self.grants.server.take_deployment(found)
-        self.quotas.take_deployment(found)
+        self.grants.server.set_deployment(found)
+        self.quotas.set_deployment(found)
         self._tell_state()
         if current is None:
             self.lease_due.set()
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -1,6 +1,6 @@
-"""Permits for requests to endpoints that have named a limit: asking the hub, and its part.
+"""Permits of the hub for requests to endpoints that announced a rate limit.
 
-A host that gets no word from the hub sends nothing to such an endpoint.
+A host that gets no reply from the hub sends nothing to an endpoint with a limit.
 """
 
 from peridotdock.context import Context
@@ -13,14 +13,14 @@
 from peridotdock.schema.messages import PermitGiven, PermitWanted
 from peridotdock.turns import Turns
 
-# Seconds for which an endpoint is left alone that the hub gave no word on.
+# Seconds without requests to an endpoint after the hub did not reply to a call for its permit.
 SILENT_HUB_BACKOFF_SECONDS = 0.25
-# Least time, in seconds, until a host asks again for an endpoint on which it was denied a permit.
+# Minimum seconds until a host requests a permit again after a denial.
 MIN_DENIED_WAIT_SECONDS = 0.01
 
 
 class EndpointPermits:
-    """Permits on one host, which may be the hub."""
+    """Requests and issues permits on one host, which may itself be the hub."""
 
     def __init__(self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet, turns: Turns):
         self._ctx = ctx
@@ -31,21 +31,21 @@
         self._permits = Permits()
 
     def refresh(self) -> None:
-        """Forget endpoints without a limit; as the hub, begin to count for those that have one."""
+        """Drop endpoints without a limit; as the hub, start counting for those with one."""
         states = self._fleet.states.values()
         self._permits.forget({state.start for state in states if state.limited})
         if self._peers.is_hub():
             for state in states:
                 self.wait_and_gap(state)
 
-    # A host's part
+    # On every host
 
     async def request_permit(
         self, state: EndpointState, max_wait: float = 0.0, caller: CallerConnection | None = None
     ) -> Permit:
-        """Ask for a permit for one request, which can wait for so many seconds.
+        """Request a permit for one request, which can wait for ``max_wait`` seconds.
 
-        There is none for an endpoint that wants a rest from this host.
+        It is denied while the endpoint wants this host to back off.
         """
         now = self._ctx.clock.monotonic()
         if state.rests_until > now:
@@ -67,7 +67,7 @@
         return permit
 
     async def request_by_key(self, key: str) -> Permit:
-        """Ask for a permit for one call now to the endpoint of an id."""
+        """Request a permit for one immediate call to the endpoint with this id."""
         state = self._fleet.states.get(key)
         return NO_WAIT if state is None else await self.request_permit(state)
 
@@ -82,14 +82,14 @@
         if reply is not None:
             return Permit(reply.given, reply.wait / 1000)
         self._ctx.timeline.add(
-            "hub_silent", "WARNING", endpoint=state.key, detail=f"{hub}, on a permit"
+            "hub_silent", "WARNING", endpoint=state.key, detail=f"{hub}, call for a permit"
         )
         return Permit(False, SILENT_HUB_BACKOFF_SECONDS)
 
-    # The hub's part
+    # On the hub
 
     def on_frame(self, host: str, frame: PermitWanted | PermitGiven) -> None:
-        """Take a frame of another host."""
+        """Handle a frame of another host."""
         if isinstance(frame, PermitGiven):
             self._hub_calls.on_reply(frame.number, frame)
             return
@@ -103,20 +103,20 @@
         self._peers.mesh.send_to(host, answer)
 
     def issue(self, state: EndpointState, max_wait: float) -> Permit:
-        """Give a permit as the hub, where there is one."""
+        """Issue a permit as the hub, or deny it."""
         if not state.limited:
             return NO_WAIT
         now = self._ctx.clock.monotonic()
         return self._permits.take(state.start, self._hub_share(state), max_wait, now)
 
     def spend(self, state: EndpointState) -> None:
-        """Count a prompt that is granted as the hub."""
+        """Count a prompt that this host granted as the hub."""
         if state.limited:
             now = self._ctx.clock.monotonic()
             self._permits.spend(state.start, self._hub_share(state), now)
 
     def wait_and_gap(self, state: EndpointState) -> tuple[float, float]:
-        """Return the seconds until a permit, and between two, as the hub; 0 without a limit."""
+        """Return the seconds until the next permit and between permits, 0 without a limit."""
         if not state.limited:
             return 0.0, 0.0
         share = self._hub_share(state)
@@ -124,5 +124,5 @@
         return wait, permit_gap(share)
 
     def _hub_share(self, state: EndpointState) -> float:
-        """Return the part of a limit that this hub may give."""
+        """Return the requests per second of the limit that this hub may issue."""
         return state.limit.rate * self._peers.part()
--- a/peridotdock/relay/port_router.py
+++ b/peridotdock/relay/port_router.py
@@ -1,4 +1,4 @@
-"""The addresses at which a relaying host is asked besides callers' requests."""
+"""Dispatches requests by port: callers, readiness, host directory and metrics."""
 
 import random
 from collections.abc import Callable
@@ -12,32 +12,32 @@
 from peridotdock.relay.settings import Listen
 from peridotdock.serving import Handler
 
-# Seconds that callers keep an answer where to connect.
+# Seconds for which callers may cache the list of host addresses.
 ADDRESS_SECONDS = 1.0
 
 
 class PortRouter:
-    """Takes each request to what listens at its port."""
+    """Passes each request to the handler of the port that it arrived at."""
 
     def __init__(
         self,
         ctx: Context,
         adapter: Adapter,
-        front: RequestHandler,
+        request_handler: RequestHandler,
         membership: Membership,
         is_ready: Callable[[], bool],
     ):
         self._ctx = ctx
         self._adapter = adapter
-        self._front = front
+        self._request_handler = request_handler
         self._membership = membership
         self._is_ready = is_ready
         self._handlers: dict[int, Handler] = {}
 
     def set_ports(self, listen: Listen, metrics_port: int | None) -> None:
-        """Take requests at these ports from now on."""
+        """Set the handler of each port; ``metrics_port`` is None without a metrics listener."""
         self._handlers = {
-            listen.callers.port: self._front.handle,
+            listen.callers.port: self._request_handler.handle,
             listen.readiness.port: self._readiness,
             listen.directory.port: self._directory,
         }
@@ -45,7 +45,7 @@
             self._handlers[metrics_port] = self._metrics
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request at whichever port it came."""
+        """Answer a request with the handler of its port."""
         return await self._handlers[request.scope["server"][1]](request)
 
     async def _readiness(self, request: Request) -> Response:
@@ -54,7 +54,7 @@
         return Response(200 if ready else 503, None, body)
 
     async def _metrics(self, request: Request) -> Response:
-        self._ctx.metrics.in_work.set(self._front.in_progress)
+        self._ctx.metrics.in_work.set(self._request_handler.in_progress)
         return Response(200, None, Content(b"text/plain", self._ctx.metrics.render()))
 
     async def _directory(self, request: Request) -> Response:
--- a/peridotdock/relay/progress.py
+++ b/peridotdock/relay/progress.py
@@ -1,13 +1,14 @@
-"""How far one relayed request has come."""
+"""The progress of one relayed request over its sends."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
 class Progress:
-    """Where a request was sent, where it may have run, what it passed on.
+    """Counts of a request's sends, with the endpoints already tried in ``avoid``.
 
-    ``last_id`` is the id of the last event that the caller has from us.
+    ``maybe_ran`` counts the sends that may have run, ``refusals`` those that were refused.
+    ``last_id`` is the id of the last event that was passed on to the caller.
     """
 
     service: str
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -1,6 +1,6 @@
-"""Keeping to workspaces' quotas over all hosts: asking the hub while a quota is low, and its part.
+"""Enforces workspaces' quotas over all hosts; hosts call the hub while a quota is low.
 
-Nothing hangs on the hub: a host that gets no word from it in time serves its own share.
+Serving does not depend on the hub: a host without a reply in time serves its own share.
 """
 
 from collections.abc import Mapping
@@ -20,18 +20,18 @@
 from peridotdock.turns import Turns
 from peridotdock.workspaces import Quota
 
-# Seconds after which the hub says again which quotas are low although that has not changed: by its
-# last word hosts know what it has charged.
+# Seconds after which the hub publishes an unchanged list of low quotas again. Hosts know by its
+# last update what it has charged.
 LOW_REPUBLISH_SECONDS = 0.5
-# Spread of the time until callers come back, so that those of one moment do not do so together.
+# Jitter of retry-after, so that callers refused together do not retry together.
 RETRY_JITTER_SHARE = 0.5
-# Least time, in seconds, between two log lines on a hub that gives no word.
+# Minimum seconds between two log lines on a hub that does not reply.
 SILENCE_LOG_INTERVAL_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """The units that a request takes of a workspace's quota."""
+    """The units that a request uses of a workspace's quota."""
 
     name: str
     quota: Quota
@@ -39,7 +39,7 @@
 
 
 class Quotas:
-    """Quotas on one host, which may be the hub."""
+    """Checks quotas on one host, which may itself be the hub."""
 
     def __init__(self, ctx: Context, host: str, peers: Peers, bounds: Bounds, turns: Turns):
         self._ctx = ctx
@@ -53,14 +53,14 @@
         self._silent_count = 0
         self._silence_logged_at = float("-inf")
 
-    def take_deployment(self, deployment: Deployment) -> None:
-        """Take in what the operators allow each workspace."""
+    def set_deployment(self, deployment: Deployment) -> None:
+        """Set the quotas of the workspaces from a new configuration."""
         self._quotas = deployment.workspaces.quotas()
 
-    # A host's part
+    # On every host
 
     async def admit(self, req: RelayRequest, caller: CallerConnection) -> Failure | None:
-        """Let a request pass, or turn it away with the time after which it may come back."""
+        """Admit a request, or return a failure with the time after which to retry."""
         charge = self._find_charge(req)
         if charge is None:
             return None
@@ -75,13 +75,13 @@
         return Failure(Kind.CALLER_LIMIT, f"workspace {charge.name}", wait * spread)
 
     def refund(self, req: RelayRequest) -> None:
-        """Count a request that was let pass and did not run as not served."""
+        """Return the units of an admitted request that did not run."""
         charge = self._find_charge(req)
         if charge is not None:
             self._own.count(charge.name, -charge.cost)
 
     def _find_charge(self, req: RelayRequest) -> Charge | None:
-        """Return what a request takes of which quota; None where nothing limits it."""
+        """Return the units and quota of a request; None if its workspace has no quota."""
         workspace = req.identity.workspace
         quota = self._quotas.get(workspace.name) if workspace is not None else None
         if quota is None:
@@ -89,7 +89,7 @@
         return Charge(workspace.name, quota, quota.cost(req.head.tokens))
 
     async def _wait_for(self, charge: Charge, caller: CallerConnection) -> float:
-        """Return 0 for a request that may pass, else the seconds until it may come back."""
+        """Return 0 for an admitted request, else the seconds until it may be retried."""
         name, quota, cost = charge.name, charge.quota, charge.cost
         hub = self._read_hub_quotas()
         if not self._own.must_ask(name):
@@ -106,7 +106,7 @@
         return self._own.take_alone(name, quota, cost, len(self._peers.known_hosts()), now)
 
     def _read_hub_quotas(self) -> str:
-        """Take in the hub's last word, and return which host it is."""
+        """Apply the hub's last published quotas, and return the hub's id."""
         hub = self._peers.hub()
         update = self._peers.board.get(hub, "quotas")
         self._own.hear(update.fact.low if update is not None else None)
@@ -115,7 +115,7 @@
     async def _call_hub(
         self, hub: str, name: str, cost: float, caller: CallerConnection
     ) -> float | None:
-        """Return the hub's word on a request, None where it gives none in time."""
+        """Return the wait in seconds from the hub, or None without a reply in time."""
 
         def send(number: int) -> bool:
             return self._peers.mesh.send_to(
@@ -126,21 +126,19 @@
         return None if wait is None else wait / 1000
 
     def _note_silence(self, hub: str, name: str) -> None:
-        """Log, once in a while, that requests were judged without the hub's word."""
+        """Log, at a limited rate, that requests were decided without a reply of the hub."""
         self._silent_count += 1
         now = self._ctx.clock.monotonic()
         if now - self._silence_logged_at < SILENCE_LOG_INTERVAL_SECONDS:
             return
-        detail = (
-            f"{hub}, on {self._silent_count} requests of low quotas, the last of workspace {name}"
-        )
+        detail = f"{hub}, {self._silent_count} calls on low quotas, the last for workspace {name}"
         self._ctx.timeline.add("hub_silent", "WARNING", detail=detail)
         self._silent_count, self._silence_logged_at = 0, now
 
-    # What hosts tell each other
+    # Frames and facts between hosts
 
     def on_frame(self, host: str, frame: QuotaWanted | QuotaGiven) -> None:
-        """Take a frame of another host."""
+        """Handle a frame of another host."""
         if isinstance(frame, QuotaGiven):
             self._hub_calls.on_reply(frame.number, frame.wait)
         elif self._peers.is_hub():
@@ -154,7 +152,7 @@
         self._peers.mesh.send_to(host, QuotaGiven("quota_given", frame.number, round(1000 * wait)))
 
     def publish(self) -> None:
-        """Tell the hub what was served without its word; as the hub, tell which quotas are low."""
+        """Publish this host's usage, and as the hub, which quotas are low."""
         if not self._quotas:
             return
         self._read_hub_quotas()
@@ -176,7 +174,7 @@
         self._publish_low(hub.low(self._quotas, share, now))
 
     def _as_hub(self) -> HubQuotas:
-        """Return the buckets of all hosts, as this host keeps them while it is the hub."""
+        """Return the shared buckets that this host keeps while it is the hub."""
         if self._hub is None:
             updates = self._peers.board.on("quotas").values()
             last = max(updates, key=lambda known: known.at, default=None)
--- a/peridotdock/relay/request_handler.py
+++ b/peridotdock/relay/request_handler.py
@@ -1,4 +1,4 @@
-"""The callers' side of a relaying host: HTTP in, the route, the answer."""
+"""Handles callers' HTTP requests: checks, routing, quotas, relaying and the response."""
 
 import json
 
@@ -25,18 +25,18 @@
 from peridotdock.requests import Reply
 from peridotdock.serving import CAME, read_body
 
-# Seconds until a caller may come back to a host that knows no configuration yet: by then it has
-# read one, or the caller has asked for other addresses.
+# Retry-after in seconds while a host has no configuration: by then it has read one, or the caller
+# has fetched other host addresses.
 NOT_READY_RETRY_SECONDS = 0.3
-# The status of a refused request whose earlier send may have run.
+# Status of a refused request of which an earlier send may have run.
 MAYBE_RAN_STATUS = 502
-# Seconds after its deadline from which on an answer counts as late: timers of a host that is not
-# behind fire some milliseconds late.
+# Seconds after its deadline from which an answer counts as late. Timers fire some milliseconds late
+# even on a host that keeps up.
 LATE_TOLERANCE_SECONDS = 0.05
 
 
 class RequestHandler:
-    """Takes callers' requests on one host."""
+    """Handles callers' requests on one host, and counts those in progress."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         wire: Wire,
         service: RelayService,
         peers: Peers,
-        lag: HostMonitor,
+        monitor: HostMonitor,
         identifier: Identifier,
         quotas: Quotas,
     ):
@@ -52,19 +52,19 @@
         self._wire = wire
         self._service = service
         self._peers = peers
-        self._lag = lag
+        self._monitor = monitor
         self._identifier = identifier
         self._quotas = quotas
         self.deployment: Deployment | None = None
         self.in_progress = 0
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Check and relay one request, and return the response or a refusal."""
         head = self._wire.read_request(request.headers)
         if failed(head):
             return self._refuse(head, "")
-        if self._lag.trouble is not None:
-            return self._reject_overloaded(self._lag.trouble, head.attempt_id)
+        if self._monitor.trouble is not None:
+            return self._reject_overloaded(self._monitor.trouble, head.attempt_id)
         deployment = self.deployment
         if deployment is None:
             return self._refuse(
@@ -83,7 +83,7 @@
         req = make_request(request, head, route, body, identity)
         blocked = self._service.blocklist.refusal(req)
         if blocked is not None:
-            # Before it is counted as demand: what is never sent needs no model loaded.
+            # Before it counts as demand: a request that is never sent needs no loaded model.
             return self._refuse(blocked, req.id)
         return await self._serve(request, req)
 
@@ -95,9 +95,9 @@
             limited = await self._quotas.admit(req, caller)
             if limited is not None:
                 return self._refuse(limited, req.id)
-            progress = self._service.begin(req.route)
+            progress = self._service.choose_service(req.route)
             self._count_demand(req, progress)
-            found = await self._service.open(req, caller, progress)
+            found = await self._service.open_answer(req, caller, progress)
             if failed(found):
                 if not found.may_have_run:
                     self._quotas.refund(req)
@@ -120,7 +120,7 @@
             self._ctx.metrics.late_answers.inc()
 
     def _count_demand(self, req: RelayRequest, progress: Progress) -> None:
-        """Count what a request asks of the engines, by model and adapter."""
+        """Add the request's engine seconds to the demand for its model or adapter."""
         inference = req.head.inference
         if inference is not None:
             seconds = read_seconds(self._service.fleet.work(progress.service, inference))
@@ -128,7 +128,7 @@
             self._peers.meter.add(name_item(progress.service, inference), seconds, now)
 
     async def _stream_body(self, req, caller, progress, source: StreamSource):
-        """Pass a stream on, and count it as in work until it has ended."""
+        """Relay a stream; the request counts as in progress until it has ended."""
         try:
             async for part in relay_stream(self._service, req, caller, progress, source):
                 yield part
@@ -140,7 +140,7 @@
         caller.stop_watching()
 
     def _reject_overloaded(self, trouble: Trouble, attempt_id: str) -> Response:
-        """Refuse a request of a host that takes nothing new, and free its connection."""
+        """Refuse a request while the host is overloaded, and close its connection."""
         failure = Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
         response = self._refuse(failure, attempt_id)
         response.headers.add(b"connection", b"close")
@@ -154,7 +154,7 @@
             request=attempt_id,
             detail=f"{failure.kind}: {failure.reason}",
         )
-        # A refusal's status promises that nothing has run, which an earlier send may break.
+        # The usual status states that nothing has run, which is wrong if an earlier send may have.
         maybe_ran = failure.may_have_run and failure.answer.ran is Ran.NO
         headers = self._wire.write_refusal(attempt_id, failure.retry_after)
         body = json.dumps(failure.describe(attempt_id)).encode()
@@ -165,9 +165,11 @@
 def make_request(
     request: Request, head: RequestHead, route: Route, body: bytes, identity: Identity
 ) -> RelayRequest:
-    """Return the request to relay; its time runs from when it can have come at the earliest."""
+    """Return the request to relay; its timeout runs from its earliest possible arrival."""
     received_at = request.scope[CAME]
-    seconds = route.timeout if head.seconds is None else min(route.timeout, head.seconds)
+    seconds = (
+        route.timeout if head.timeout_seconds is None else min(route.timeout, head.timeout_seconds)
+    )
     target = request.url.value.decode("latin-1")
     return RelayRequest(
         head, route, request.method, target, body, received_at, received_at + seconds, identity
--- a/peridotdock/relay/requests.py
+++ b/peridotdock/relay/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request on a route, and an endpoint as it registered itself, decoded."""
+"""Decoded requests of callers, endpoint entries and heads of endpoints' answers."""
 
 import math
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share; equal ids are equal tokens."""
+    """A part of a prompt that requests may share; parts with equal ids have equal tokens."""
 
     id: str
     tokens: int
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InferenceSpec:
-    """The model work that a request asks for; ``adapter`` is empty for the bare model."""
+    """Model, adapter and token counts of a request; ``adapter`` is empty for the base model."""
 
     model: str
     adapter: str
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request as the wire's decoder found it.
+    """The decoded head of a request.
 
-    ``seconds`` is how long the caller waits, None when it does not say. ``resume_after`` is the id
-    of the last event the caller has. ``headers`` are those that go on to the endpoint unchanged;
-    ``own_identity``, with which a caller says who it is, go on only where a deployment has no
-    workspaces. ``key`` is the digest of the caller's key.
-    ``tokens`` are those of the prompt and the most of the answer, 0 where the request doesn't say.
+    ``timeout_seconds`` is the caller's timeout, None without one. ``resume_after`` is the id of the
+    last event that the caller has received. ``headers`` are forwarded to the endpoint unchanged.
+    ``identity_headers``, by which a caller identifies itself, are forwarded only if the deployment
+    has no workspaces. ``key`` is the digest of the caller's key. ``tokens`` is the number of prompt
+    tokens plus the maximum of answer tokens, 0 if the request doesn't give them.
     """
 
     attempt_id: str
     host: str
-    seconds: float | None
+    timeout_seconds: float | None
     resume_after: str
     inference: InferenceSpec | None
     headers: tuple[tuple[str, str], ...]
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who sends a request, and the caller's own headers on that, where they go on."""
+    """The workspace of a request, and the caller's identity headers if they are forwarded."""
 
     workspace: Workspace | None = None
     headers: tuple[tuple[str, str], ...] = field(default=(), repr=False)
@@ -61,9 +61,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayRequest:
-    """A request to be relayed. ``deadline`` and ``began`` are monotonic seconds.
+    """A request to be relayed. ``deadline`` and ``received_at`` are monotonic seconds.
 
-    ``deadline`` is the earlier of the route's time-out and of what the caller will wait.
+    ``deadline`` is the earlier of the route's timeout and the caller's.
     """
 
     head: RequestHead
@@ -77,7 +77,7 @@
 
     @property
     def rank(self) -> int:
-        """Return the request's rank, 0 first: its workspace's, where that has one."""
+        """Return the priority rank, 0 first: the workspace's if it has one, else the route's."""
         workspace = self.identity.workspace
         if workspace is None or workspace.rank is None:
             return self.route.rank
@@ -85,20 +85,23 @@
 
     @property
     def first_event_deadline(self) -> float:
-        """Return when the first sign of an answer must be there, or the caller leaves."""
+        """Return the monotonic time by which the first event must arrive.
+
+        The caller disconnects after that.
+        """
         return min(self.deadline, self.received_at + self.route.patience)
 
     @property
     def id(self) -> str:
-        """Return the caller's id for this attempt."""
+        """Return the attempt id that the caller chose."""
         return self.head.attempt_id
 
     @property
     def content_id(self) -> str:
-        """Return what all attempts at the same request share.
+        """Return a hash that is equal for all attempts at the same request.
 
-        Each attempt has an id of its own, and may come to any host. What is asked for stays the
-        same: host name, method, target, model and body.
+        Each attempt has its own id and may arrive at any host. Host name, method, target, model
+        and body are the same in all of them.
         """
         inference = self.head.inference
         item = f"{inference.model}/{inference.adapter}" if inference is not None else ""
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedModel:
-    """A model on an endpoint, with the adapters that are loaded for it."""
+    """A model that an endpoint has loaded, with the adapters loaded for it."""
 
     version: int
     adapters: frozenset[str]
@@ -115,11 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """What an endpoint registered about itself. ``incarnation`` is its id.
+    """An endpoint's entry, as the endpoint registered it.
 
-    A later start may take the same id again: then ``born``, the Unix milliseconds of the start,
-    differs. It is 0 where the endpoint does not say. What is known of one start, as what it holds
-    and how it behaves, is nothing of the next.
+    A restarted endpoint may reuse its ``endpoint_id`` with another ``started_ms``, the Unix
+    milliseconds of its start, 0 if the endpoint does not report it. Nothing known of one start
+    (loaded items, behaviour) applies to the next.
     """
 
     endpoint_id: str
@@ -134,17 +137,17 @@
     started_ms: int = 0
 
     def items(self) -> set[str]:
-        """Return the names of the models and adapters that it holds."""
+        """Return the names of the loaded models and adapters."""
         adapters = (f"{name}/{a}" for name, row in self.models.items() for a in row.adapters)
         return {*self.models, *adapters}
 
 
 @dataclass(frozen=True, slots=True)
 class SendOptions:
-    """What one send says beside the caller's request; ``seconds`` is the time left."""
+    """Header values of one send; ``remaining_seconds`` is the time until the deadline."""
 
     endpoint_id: str
-    seconds: float
+    remaining_seconds: float
     priority: int
     resume_after: str
 
@@ -153,12 +156,12 @@
 class AnswerHead:
     """The head of an endpoint's answer.
 
-    ``not_run`` is the endpoint's word that it did not run the request; ``misdirected`` that it is
-    not the one named, or does not hold the model or adapter. ``receipt`` proves that the answer is
-    the endpoint's own. ``headers`` go back to the caller unchanged. ``rate_limit`` are the requests
-    a second that the endpoint takes from all hosts together for now: infinite where it names no
-    limit, None where what it names can't be read. ``leaving`` is its word that it leaves. ``rest``
-    are the seconds for which it wants nothing from this host.
+    ``not_run``: the endpoint states that it did not run the request. ``misdirected``: it is not the
+    endpoint named in the request, or does not have the model or adapter. ``receipt`` proves that
+    the answer comes from the endpoint itself. ``headers`` are returned to the caller unchanged.
+    ``rate_limit`` is the number of requests per second that the endpoint currently accepts from all
+    hosts together: infinite without a limit, None if the value can't be parsed. ``draining``: the
+    endpoint is shutting down. ``backoff`` is how many seconds this host must not send to it.
     """
 
     status: int
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, up to the head of the answer."""
+"""Sends a request to one endpoint and waits for the head of its answer."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -17,19 +17,19 @@
 from peridotdock.turns import find_turns
 
 T = TypeVar("T")
-# Called with the head of each answer, and when its request was sent (monotonic seconds).
+# Called with the head of each answer and the monotonic seconds at which its request was sent.
 OnAnswer = Callable[[RelayRequest, EndpointState, AnswerHead, float], None]
 SUCCESS = range(200, 300)
-# What an endpoint says that did not run a request: the connection is as good as before. Each new
-# one costs the endpoint a millisecond, and those that it refuses are the busiest.
+# Failures of an endpoint that did not run the request; the connection is kept. A new connection
+# costs the endpoint a millisecond, and endpoints that refuse requests are the busiest.
 NOT_RUN_KINDS = frozenset({Kind.ENDPOINT_REFUSED, Kind.ENDPOINT_LACKS})
-# Seconds that the rest of a refusal may take; its few bytes come with its head.
+# Timeout in seconds for the body of a refusal, whose few bytes arrive with its head.
 REFUSAL_BODY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAnswer:
-    """An answer whose head has come."""
+    """An answer of which the head was received and the body is still to be read."""
 
     state: EndpointState
     opened: Opened
@@ -37,10 +37,10 @@
 
 
 class CallerTimeout(TurnTimeout):
-    """Ends the work of the running task when its time is over or the caller has left.
+    """Ends the work of the running task at its timeout or when the caller disconnects.
 
-    The work goes on in the same task: handing it to another one costs two turns of the loop more
-    for each step, and on a host that is behind a turn is long.
+    The work stays in the same task: moving it to another one costs two more loop iterations per
+    step, and on a host with a late loop each iteration is long.
     """
 
     def __init__(self, caller: CallerConnection, seconds: float):
@@ -48,13 +48,13 @@
         self._caller = caller
 
     async def __aenter__(self) -> Self:
-        """Begin to count, and to watch the caller."""
+        """Start the timeout and watch for the caller's disconnect."""
         await super().__aenter__()
         self._caller.disconnected.add_done_callback(self._on_disconnect)
         return self
 
     async def __aexit__(self, *exc: Any) -> bool | None:
-        """Stop both; raises TimeoutError when the work was ended."""
+        """Stop both; raises TimeoutError if the work was ended."""
         self._caller.disconnected.remove_done_callback(self._on_disconnect)
         return await super().__aexit__(*exc)
 
@@ -65,9 +65,9 @@
 async def wait_for(
     work: Awaitable[T], caller: CallerConnection, seconds: float, silence: bool = False
 ) -> T | Failure:
-    """Wait for an endpoint, for as long as the caller is there and the time lasts.
+    """Wait for ``work`` until it is done, ``seconds`` pass or the caller disconnects.
 
-    ``silence`` tells what the end of the time means: the endpoint's silence, or the deadline.
+    ``silence`` tells whether a timeout is reported as a silent endpoint or as the deadline.
     """
     limit = CallerTimeout(caller, seconds)
     try:
@@ -82,7 +82,7 @@
 
 
 class Sender:
-    """Sends requests to endpoints and checks that what comes back is their answer."""
+    """Sends requests to endpoints and checks that the answers belong to them."""
 
     def __init__(self, wire: Wire, endpoints: HttpEndpoints, clock: Clock):
         self._wire = wire
@@ -100,7 +100,7 @@
         resume_after: str,
         head_timeout: float,
     ) -> PendingAnswer | Failure:
-        """Send and wait for the head, ``patience`` seconds at most."""
+        """Send, and wait for the head for at most ``head_timeout`` seconds."""
         remaining = req.deadline - self._clock.monotonic()
         options = SendOptions(state.key, remaining, priority, resume_after)
         call = Call(
@@ -127,8 +127,8 @@
             if failure.kind in NOT_RUN_KINDS:
                 await wait_for(read_all(opened), caller, REFUSAL_BODY_SECONDS)
             else:
-                # Another answer may follow where the next request's is expected, and an answer that
-                # was read to its end has given its connection back already.
+                # A second answer may follow and be read as the next request's. The connection of an
+                # answer that was read to its end is already back in the pool.
                 opened.abort()
                 self._endpoints.suspect(f"http://{state.entry.address}")
             await opened.release()
@@ -139,9 +139,9 @@
 def check_answer_head(head: AnswerHead, attempt_id: str) -> Failure | None:
     """Return why an answer can't be passed on, or None.
 
-    Failure guarded against: an endpoint sends a second answer after its first, and it stands where
-    the next request's is expected; or its place has been taken by another service. The first shows
-    by the id, the second by the missing receipt. The connection is not used again.
+    Failure guarded against: an endpoint sends a second answer after its first, which is read as the
+    answer to the next request; or another service now runs at its address. The first is detected by
+    the attempt id, the second by the missing receipt. The connection is not reused.
     """
     if head.attempt_id and head.attempt_id != attempt_id:
         return Failure(Kind.WRONG_ANSWER, "id of another request")
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -1,4 +1,4 @@
-"""Serving one relayed request: place it, send it, repeat it where that is safe."""
+"""Serves a relayed request: chooses endpoints, sends, and retries where that is safe."""
 
 from collections.abc import Callable
 
@@ -25,19 +25,19 @@
 from peridotdock.requests import RETRY_KINDS, admit_maybe, broke_off
 from peridotdock.turns import find_turns
 
-# Refused sends of one request: each was not run, but each is an arrival at the service.
+# Maximum of refused sends of one request; a refused send does not run, but loads the service.
 MAX_REFUSALS = 2
-# The first sign of an answer may take so many times its prediction, and so many seconds more,
-# before another endpoint is asked.
+# The timeout of the first event is a multiple of its predicted time plus a constant. After it
+# another endpoint is tried.
 FIRST_EVENT_TIMEOUT_FACTOR = 3.0
 FIRST_EVENT_TIMEOUT_SECONDS = 0.8
-# Seconds of a stream from which on its request is not what ended the endpoint: one that does ends
-# it as soon as it runs, and events may be on their way for a while.
+# A stream that has lasted for this many seconds did not crash its endpoint: a request that does
+# crashes it as soon as it runs, though its events may still be in transit for a while.
 BLAMELESS_STREAM_SECONDS = 0.3
 
 
 class RelayService:
-    """Serves relayed requests on one host."""
+    """Serves relayed requests on one host, within the retry allowance of each service."""
 
     def __init__(
         self,
@@ -72,27 +72,27 @@
             self._allowances[service] = found
         return found
 
-    def begin(self, route: Route) -> Progress:
-        """Draw the service for one request by the route's weights, and count it there."""
+    def choose_service(self, route: Route) -> Progress:
+        """Choose a request's service at random by the route's weights, and count the request."""
         names = [share.service for share in route.shares]
         weights = [share.weight for share in route.shares]
         name = names[0] if len(names) == 1 else self.ctx.rng.choices(names, weights)[0]
         self._allowance(name).count_request(self.ctx.clock.monotonic())
         return Progress(name)
 
-    async def open(
+    async def open_answer(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> CompleteAnswer | StreamSource | Failure:
-        """Send until an endpoint gives a whole answer or the first events of a stream.
+        """Send until an endpoint returns a complete answer or the first events of a stream.
 
-        An endpoint's own failure is passed on as it came when it can't be had better elsewhere.
+        An endpoint's own 5xx answer is passed on unchanged if no other endpoint does better.
         """
         fallback: CompleteAnswer | None = None
         outcome: Failure | None = None
         while True:
             prediction = await self._admit(req, caller, progress)
             if failed(prediction):
-                # What tells when to come back goes before why the last send was lost.
+                # A failure with a retry-after takes precedence over that of the last send.
                 refusal = (
                     prediction if prediction.retry_after is not None else outcome or prediction
                 )
@@ -104,7 +104,7 @@
                 return found
             else:
                 outcome = found
-            if not self.may_repeat(req, caller, progress, found):
+            if not self.may_retry(req, caller, progress, found):
                 if fallback is not None:
                     return fallback
                 return admit_maybe(outcome, progress.maybe_ran > 0)
@@ -112,7 +112,7 @@
     async def _admit(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Prediction | Failure:
-        """Choose an endpoint, unless the request is blocked, or is by the time one is found."""
+        """Choose an endpoint; refuse a request that is blocked before or after the choice."""
         refusal = self.blocklist.refusal(req)
         if refusal is not None:
             return refusal
@@ -120,18 +120,18 @@
         return prediction if failed(prediction) else self.blocklist.refusal(req) or prediction
 
     def note_gap(self, state: EndpointState, service: str, seconds: float, events: int) -> None:
-        """Learn from the time until some events of a stream came, since those before."""
+        """Record the seconds since the previous events of a stream; ``events`` arrived at once."""
         self.fleet.note_event(service, seconds / events)
         self.on_gap(service, state.key, seconds)
 
-    def may_repeat(
+    def may_retry(
         self,
         req: RelayRequest,
         caller: CallerConnection,
         progress: Progress,
         found: CompleteAnswer | Failure,
     ) -> bool:
-        """Tell whether to send again: safe, allowed by the route, and within the allowance."""
+        """Whether a retry is safe, allowed by the route, and within the retry allowance."""
         now = self.ctx.clock.monotonic()
         if caller.is_disconnected() or now >= req.deadline:
             return False
@@ -149,11 +149,11 @@
     def may_resume_elsewhere(
         self, req: RelayRequest, progress: Progress, state: EndpointState
     ) -> bool:
-        """Tell whether a stream that falls silent at an endpoint may be taken up at another.
+        """Whether a stream that stalls at an endpoint may be resumed at another one.
 
-        Failure guarded against: the only endpoint with the model is crowded and gives no event for
-        a second. The stream is taken back and sent there again, waits for its turn anew, and is
-        broken off when it is silent once more, though the endpoint was at work on it.
+        Failure guarded against: the only endpoint with the model is overloaded and sends no event
+        for a second. The stream is cancelled and sent there again, queues anew, and is broken off
+        when it stalls once more, though the endpoint was working on it.
         """
         if not req.route.resumable or progress.maybe_ran >= req.route.max_sends:
             return False
@@ -176,7 +176,7 @@
         progress.sends += 1
         progress.avoid.add(state.key)
         self.ctx.metrics.sends.labels(str(progress.sends)).inc()
-        self._note_send(req, progress, prediction)
+        self._log_send(req, progress, prediction)
         inference = req.head.inference
         tokens = (
             unread(prediction.candidate, self.fleet.work(progress.service, inference))
@@ -206,8 +206,8 @@
             if not streaming:
                 self.fleet.ended(state, req.id, progress.service, whole=False)
 
-    def _note_send(self, req: RelayRequest, progress: Progress, prediction: Prediction) -> None:
-        """Log which endpoint was chosen, and what was known of it."""
+    def _log_send(self, req: RelayRequest, progress: Progress, prediction: Prediction) -> None:
+        """Log the chosen endpoint and the state by which it was chosen."""
         chosen, inference = prediction.candidate, req.head.inference
         self.ctx.timeline.add(
             "sent",
@@ -220,8 +220,8 @@
             f"{', preferred' if chosen.preferred else ''}, {chosen.slowness:.2f} times slower",
         )
 
-    def _note_first_event(self, req: RelayRequest, state: EndpointState, started_at: float) -> None:
-        """Log how long the first event took."""
+    def _log_first_event(self, req: RelayRequest, state: EndpointState, started_at: float) -> None:
+        """Record and log the seconds until the first event."""
         seconds = self.ctx.clock.monotonic() - started_at
         label = self.ctx.metrics.item_label(req.route.name)
         self.ctx.metrics.first_token.labels(label).observe(seconds)
@@ -235,10 +235,11 @@
     def _first_event_timeout(
         self, req: RelayRequest, progress: Progress, predicted: float
     ) -> float:
-        """Return how long to wait for a first sign; for good where it can't be had elsewhere.
+        """Return the seconds to wait for the first event.
 
-        Failure guarded against: the only endpoint with a model is crowded, its requests are taken
-        back when they are slow and sent there again, and lose their place in its queue each time.
+        It is the route's whole timeout if no other endpoint can be tried. Failure guarded against:
+        the only endpoint with a model is overloaded, slow requests are cancelled and sent there
+        again, and lose their place in its queue each time.
         """
         if not req.route.repeatable or progress.maybe_ran + 1 >= req.route.max_sends:
             return req.route.timeout
@@ -255,7 +256,7 @@
         sent: PendingAnswer,
         first_event_timeout: float,
     ) -> CompleteAnswer | StreamSource | Failure:
-        """Read a whole answer, or a stream up to its first events."""
+        """Read a complete answer, or a stream up to its first events."""
         remaining = req.deadline - self.ctx.clock.monotonic()
         if sent.head.status in SUCCESS and req.route.streams:
             source = StreamSource(sent.state, sent.head, sent.opened)
@@ -268,7 +269,7 @@
                 return failure
             source.started_at = self.ctx.clock.monotonic()
             self.fleet.answered(sent.state, req.id, req.head.inference)
-            self._note_first_event(req, sent.state, req.received_at)
+            self._log_first_event(req, sent.state, req.received_at)
             return source
         try:
             body = await wait_for(read_all(sent.opened), caller, remaining)
@@ -288,7 +289,7 @@
         found: CompleteAnswer | StreamSource | Failure,
         progress: Progress,
     ) -> None:
-        """Learn from an outcome what the endpoint is worth, and where the request may have run."""
+        """Update the endpoint's health and the request's progress from the result of a send."""
         now = self.ctx.clock.monotonic()
         if not failed(found):
             erred = isinstance(found, CompleteAnswer) and found.is_server_error
@@ -307,11 +308,11 @@
         expected: float,
         started_at: float,
     ) -> None:
-        """Hold it against a plain service's endpoint that the request's time ran out there.
+        """Record against a plain service's endpoint that a request's deadline passed there.
 
-        Failure guarded against: an endpoint takes requests and answers none. What may run once only
-        waits for its answer to the end, which tells nothing by itself, and the next request is sent
-        there again.
+        Failure guarded against: an endpoint accepts requests and answers none. A request that may
+        run only once waits until its deadline, which by itself does not count against the endpoint,
+        and the next request is sent there again.
         """
         if not failed(found) or found.kind is not Kind.DEADLINE or req.head.inference is not None:
             return
@@ -322,9 +323,9 @@
     def note_loss(
         self, req: RelayRequest, state: EndpointState, found: Failure, streamed: float | None = None
     ) -> None:
-        """Hold a loss against the endpoint, unless it is the caller's or the deadline's.
+        """Record a lost send against the endpoint, unless the caller or the deadline ended it.
 
-        ``streamed`` are the seconds since the endpoint's first event, None when none came.
+        ``streamed`` is the seconds since the endpoint's first event, None without one.
         """
         now = self.ctx.clock.monotonic()
         if found.kind is Kind.ENDPOINT_REFUSED:
@@ -332,7 +333,7 @@
         elif found.kind is Kind.ENDPOINT_LACKS and req.head.inference is not None:
             state.note_lack(req.head.inference, now)
         elif found.kind is Kind.ENDPOINT_LACKS:
-            # A plain service lacks nothing: its address has been taken by another.
+            # A plain service has no items to miss: another service now runs at its address.
             state.health.unreachable(now)
         elif found.kind is Kind.ENDPOINT_UNREACHABLE:
             state.health.unreachable(now)
@@ -352,10 +353,10 @@
 
 
 def describe_broken(req: RelayRequest, found: Failure, streamed: float | None) -> str:
-    """Return what tells, for an answer that broke off, whose request ended its endpoint.
+    """Return log details of a broken-off answer, to find a request that crashes endpoints.
 
-    The content is the same in all attempts at one request; the one that ends an endpoint as it
-    begins to run has no event yet, those that only were there have streamed for a while.
+    The content id is the same in all attempts at one request. A request that crashes its endpoint
+    as it starts to run has no event yet; others on that endpoint have streamed for a while.
     """
     if not broke_off(found):
         return ""
@@ -364,6 +365,6 @@
 
 
 def choose_priority(req: RelayRequest) -> int:
-    """Return the engine's priority for a request, 0 to 9: its rank, then its route's target."""
+    """Return the engine's priority of a request, 0 to 9, by its rank, then its route's target."""
     slow = req.route.target > 1.0
     return min(9, 2 + 2 * req.rank + slow)
--- a/peridotdock/relay/settings.py
+++ b/peridotdock/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relaying host: its place, its addresses, the bounds it keeps to.
+"""Settings of a relaying host: its failure domain, its addresses and its limits.
 
 All times are seconds. The platform's settings file is read by :mod:`peridotdock.platform`.
 """
@@ -7,7 +7,7 @@
 
 from peridotdock.decisions.quotas import Tolerance
 
-# What the hub needs; thinner links are left to callers' traffic.
+# Minimum link and cores of a hub; slower links are left to callers' traffic.
 HUB_MIN_LINK_MBPS = 50.0
 HUB_MIN_CORES = 1.0
 
@@ -25,7 +25,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read IP:PORT; raises ValueError for anything else."""
+    """Parse IP:PORT; raises ValueError for anything else."""
     ip, colon, port = text.rpartition(":")
     if not (colon and ip and port.isdigit() and 0 <= int(port) <= 65535):
         raise ValueError(f"{text!r} is not IP:PORT")
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listen:
-    """Where this host listens: callers, readiness checks, the answer where to connect, hosts."""
+    """Listening addresses for callers, readiness checks, the host directory and other hosts."""
 
     callers: Address
     readiness: Address
@@ -46,14 +46,14 @@
 class Bounds:
     """The limits that the deployment's operators set.
 
-    ``leaving`` is how long an endpoint still takes requests after it said that it leaves,
+    ``drain`` is how long an endpoint still accepts requests after it announced that it drains,
     ``config`` how soon an accepted configuration must be in force on all hosts.
-    ``retry_share`` and ``retry_extra`` bound repeats to a service in ``retry_window`` seconds over
-    all hosts: a share of the requests and a fixed number beside. ``order_lease`` is how long one
-    host must have been the only one to order an engine before another may. ``loads_window`` and
-    ``loads_over`` bound loads from the weight store. Where ``revoke_strict`` is set, hosts that
-    are cut off from the store refuse a revoked key within ``revoke`` seconds too. ``quota`` is how
-    far workspaces' quotas may be passed.
+    ``retry_share`` and ``retry_extra`` limit retries to a service in ``retry_window`` seconds over
+    all hosts: a share of the requests plus a fixed number. ``order_lease`` is how long one host
+    must have been the only one to order an engine before another may. ``loads_window`` and
+    ``loads_over`` limit loads from the weight store. If ``revoke_strict`` is set, hosts that are
+    disconnected from the store refuse a revoked key within ``revoke`` seconds too. ``quota`` is by
+    how much workspaces' quotas may be exceeded.
     """
 
     drain: float
@@ -73,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """All settings of one relaying host; ``cores`` is how much processor it has.
+    """All settings of one relaying host; ``cores`` is its number of processor cores.
 
-    ``first_start`` tells that no host of the deployment has served before.
+    ``first_start`` is true if no host of the deployment has served before.
     """
 
     host: str
@@ -91,5 +91,5 @@
 
     @property
     def can_be_hub(self) -> bool:
-        """Tell whether this host can pass facts on to all others."""
+        """Whether the link and the cores suffice to pass facts on to all other hosts."""
         return self.link_mbps >= HUB_MIN_LINK_MBPS and self.cores >= HUB_MIN_CORES
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -1,4 +1,4 @@
-"""Passing a stream on, event by event, and taking it up at another endpoint when one is lost."""
+"""Relays a stream event by event, and resumes it at another endpoint if one is lost."""
 
 from collections.abc import AsyncIterator
 
@@ -10,27 +10,27 @@
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.service import RelayService
 
-# Seconds without a byte after which a stream is taken up elsewhere; callers leave after two.
+# Seconds without a byte after which a stream is resumed elsewhere; callers disconnect after two.
 SILENCE_SECONDS = 1.2
 
 
 class PauseTracker:
-    """Finds the longest pause between the events of a stream, and what its endpoint had to do then.
+    """Records the longest pause between events of a stream, and its endpoint's load then.
 
-    A caller is owed events without pauses; a late one spoils an answer whose first came in time.
+    A long pause delays a caller even if the first event arrived in time.
     """
 
     def __init__(self, service: RelayService, req: RelayRequest):
         self._service = service
-        self._ask = req
+        self._req = req
         self._last: float | None = None
         self.longest = 0.0
         self._detail = ""
 
     def note(self, state: EndpointState, event_id: int | None) -> float | None:
-        """Note events that have just come from an endpoint; the first of them has ``event_id``.
+        """Record events that just arrived from an endpoint; the first one has ``event_id``.
 
-        Return the seconds since those before, None for the first ones.
+        Return the seconds since the previous events, None for the first ones.
         """
         now = self._service.ctx.clock.monotonic()
         since, self._last = self._last, now
@@ -45,7 +45,7 @@
         self, state: EndpointState, event_id: int | None, now: float, pause: float
     ) -> None:
         self.longest = pause
-        allowed = self._ask.route.longest_pause
+        allowed = self._req.route.longest_pause
         if 0 < allowed < pause:
             running, ahead = state.load(now)
             self._detail = (
@@ -53,18 +53,18 @@
             )
 
     def report(self, state: EndpointState) -> None:
-        """Count the longest pause of a stream that has ended, and log it when it was too long."""
-        ctx, route = self._service.ctx, self._ask.route
+        """Export the longest pause of an ended stream as a metric, and log one over the limit."""
+        ctx, route = self._service.ctx, self._req.route
         label = ctx.metrics.item_label(route.name)
         ctx.metrics.longest_pause.labels(label).observe(self.longest)
         if self._detail:
             ctx.timeline.add(
-                "paused", request=self._ask.id, endpoint=state.key, detail=self._detail
+                "paused", request=self._req.id, endpoint=state.key, detail=self._detail
             )
 
 
 class AnswerBrokenError(Exception):
-    """An answer whose head went out can't be ended whole; its connection must show that."""
+    """Aborts an answer that can't be completed, after its head was sent to the caller."""
 
     broken_on_purpose = True
 
@@ -76,11 +76,11 @@
     progress: Progress,
     source: StreamSource,
 ) -> AsyncIterator[bytes]:
-    """Give the caller each event once and in order, and end only when the stream has.
+    """Yield each event once and in order, until the stream has ended.
 
-    An event that a second endpoint gives again is left out by its id. What can't be ended whole
-    raises :class:`AnswerBrokenError`, so that the server closes the connection without the end
-    that would make it look complete.
+    An event that a second endpoint repeats is skipped by its id. A stream that can't be completed
+    raises :class:`AnswerBrokenError`: the server then closes the connection without the final
+    chunk that would make the answer look complete.
     """
     pauses = PauseTracker(service, req)
     while True:
@@ -122,10 +122,13 @@
     source: StreamSource,
     pauses: PauseTracker,
 ) -> AsyncIterator[bytes | Failure]:
-    """Give one endpoint's events; a loss is the last thing given."""
+    """Yield one endpoint's events, and finally a failure if the endpoint is lost."""
 
     def extra_wait() -> float:
-        """Return how long to wait on for a silent endpoint: not where another may take over."""
+        """Return by how long to extend the wait for a silent endpoint.
+
+        It is 0 if another endpoint may resume the stream.
+        """
         if service.may_resume_elsewhere(req, progress, source.state):
             return 0.0
         return req.deadline - service.ctx.clock.monotonic()
@@ -159,10 +162,10 @@
     progress: Progress,
     lost: Failure,
 ) -> StreamSource | Failure:
-    """Take a stream up after its last event, where the route allows it."""
-    if not service.may_repeat(req, caller, progress, lost):
+    """Resume a stream after its last event, if the route allows it."""
+    if not service.may_retry(req, caller, progress, lost):
         return lost
-    found = await service.open(req, caller, progress)
+    found = await service.open_answer(req, caller, progress)
     if isinstance(found, CompleteAnswer):
         return lost
     return found
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -1,4 +1,4 @@
-"""Waits of a request before it is sent: for an endpoint that has what it asks for, or takes it."""
+"""Waits of a request before a send, until an endpoint has its item and accepts requests."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -16,17 +16,19 @@
 from peridotdock.relay.progress import Progress
 from peridotdock.requests import Loss, State, lose
 
-# Seconds between two looks while all endpoints rest: another may have come meanwhile.
+# Seconds between two checks while all endpoints back off: another one may have been added.
 CHECK_SECONDS = 0.25
 
 
 class EndpointWaits:
-    """Holds requests on one host while their callers stay, and turns away who would wait longer."""
+    """Holds requests on one host, and rejects those whose callers would disconnect first."""
 
-    def __init__(self, ctx: Context, fleet: RelayFleet, room: ItemWaits, permits: EndpointPermits):
+    def __init__(
+        self, ctx: Context, fleet: RelayFleet, item_waits: ItemWaits, permits: EndpointPermits
+    ):
         self._ctx = ctx
         self._fleet = fleet
-        self._item_waits = room
+        self._item_waits = item_waits
         self._permits = permits
         self.is_draining: Callable[[], bool] = lambda: False
 
@@ -47,7 +49,7 @@
     async def _back_off(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
     ) -> Failure | None:
-        """Wait until an endpoint that refused the request may have a place for it."""
+        """Wait until an endpoint that refused the request may have capacity for it."""
         remaining = req.first_event_deadline - self._ctx.clock.monotonic()
         seconds = backoff_seconds(progress.refusals, remaining, self._ctx.rng.random)
         await asyncio.wait({caller.disconnected}, timeout=seconds)
@@ -60,15 +62,15 @@
         progress: Progress,
         rows: Sequence[Candidate],
     ) -> Prediction | Failure | None:
-        """Wait for an endpoint where none takes a request now, or turn it away.
+        """Wait while no endpoint accepts the request, or reject the request.
 
-        None tells that it is time to look again.
+        Return None if the endpoints are to be checked again.
         """
         row = min(rows, key=lambda row: row.opens_in)
         seconds = predict(row, self._fleet.work(progress.service, req.head.inference))
         max_wait = max(0.0, req.first_event_deadline - self._ctx.clock.monotonic() - seconds)
         if row.rest and self.is_draining():
-            # Other hosts may send there; this one may be gone before an answer is whole.
+            # Other hosts may send there; this host may stop before an answer is complete.
             permit = Permit(False, 0.0)
         elif row.rest:
             permit = Permit(row.opens_in <= max_wait, row.opens_in)
--- a/peridotdock/relay/wire.py
+++ b/peridotdock/relay/wire.py
@@ -1,4 +1,4 @@
-"""What the relay needs of a wire format; :mod:`peridotdock.platform` implements it."""
+"""The interface of a wire format; :mod:`peridotdock.platform` implements it."""
 
 from collections.abc import Iterable, Mapping
 from typing import Protocol
@@ -8,10 +8,10 @@
 
 
 class Wire(Protocol):
-    """Reads callers' requests and endpoints' answers, and writes what goes to either."""
+    """Decodes heads of requests and answers, and encodes the headers of sends and refusals."""
 
     def read_request(self, headers: Iterable[tuple[bytes, bytes]]) -> RequestHead | Failure:
-        """Decode the head of a caller's request, or say what is wrong with it."""
+        """Decode the head of a caller's request; return a failure for an invalid one."""
 
     def write_send(self, req: RelayRequest, options: SendOptions) -> dict[str, str]:
         """Return the headers of one send to an endpoint."""
@@ -22,4 +22,4 @@
     def write_refusal(
         self, attempt_id: str, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer of our own; ``retry_after`` in seconds."""
+        """Return the headers of this host's own refusal; ``retry_after`` in seconds."""
--- a/tests/relay/test_adapter.py
+++ b/tests/relay/test_adapter.py
@@ -157,7 +157,7 @@
             )
         )
         self.assertEqual(
-            ("shop.example", 6.0, "12"), (found.host, found.seconds, found.resume_after)
+            ("shop.example", 6.0, "12"), (found.host, found.timeout_seconds, found.resume_after)
         )
         self.assertEqual(
             ("m1", "a2", 1460),
--- a/tests/relay/test_connections.py
+++ b/tests/relay/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: kept while the endpoint keeps them, and no longer."""
+"""Connections to endpoints: reuse, idle timeout, connect timeout and stalls."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
 from tests.standins.runner import RunnerStandin
 
 NOT_RUN = "x-not-executed"
-# Longer than a connection may take.
+# Longer than the connect timeout.
 STALL_SECONDS = 0.4
 
 
@@ -52,11 +52,11 @@
 
         asyncio.run(check())
 
-    def test_an_idle_connection_is_given_up_before_its_endpoint_closes_it(self):
-        """A note is lost, and nobody can tell whether it was written.
+    def test_an_idle_connection_is_closed_before_its_endpoint_closes_it(self):
+        """Failure guarded against: a request is lost, and it is unknown whether it ran.
 
-        The endpoint says that it keeps idle connections for a second. A request goes out on one in
-        the moment in which it is closed.
+        The endpoint announces that it keeps idle connections for a second. A request is sent on one
+        just as the endpoint closes it.
         """
 
         async def serve(reader, writer):
@@ -91,7 +91,7 @@
 
 
 class UnresponsiveEndpoint:
-    """An address that takes no connection and refuses none: its queue of new ones is full."""
+    """An address that neither accepts nor refuses connections: its backlog is full."""
 
     def __enter__(self):
         self._sock = socket.socket()
@@ -112,14 +112,14 @@
 
 
 class ConnectTimeoutTest(unittest.TestCase):
-    """A page that takes 45 ms is refused after its whole time, beside an endpoint that is idle.
+    """Failure guarded against: a 45 ms request times out while another endpoint is idle.
 
-    One endpoint's machine has gone dark: connections to it are neither made nor refused. The
-    request waits a second for one, longer than its route allows, and never gets to the other. Seen
-    of one request: sent at 17.772 s, at its endpoint at 19.901 s, run there in 22 ms.
+    One endpoint's machine does not respond: connections to it are neither made nor refused. The
+    request waits a second for one, longer than its route allows, and never reaches the other
+    endpoint. Seen once: sent at 17.772 s, at its endpoint at 19.901 s, run there in 22 ms.
     """
 
-    def test_a_connection_that_is_not_made_is_given_up_while_there_is_time(self):
+    def test_a_pending_connection_times_out_early_enough_for_a_retry(self):
         async def check():
             async with Deployment(pages=("p1", "p2")) as found:
                 with UnresponsiveEndpoint() as dark:
@@ -134,9 +134,9 @@
 
 
 class StallTest(unittest.TestCase):
-    """A host that stood still takes a connection that was made meanwhile for one that was not."""
+    """Failure guarded against: a connection made during a stall of the host counts as failed."""
 
-    @params(("in the turn after it begins", 1), ("a turn later", 2), ("two turns later", 3))
+    @params(("in the next iteration", 1), ("an iteration later", 2), ("two iterations later", 3))
     def test_a_stall_while_connecting_is_not_held_against_the_endpoint(self, name, turns):
         async def check():
             loop = asyncio.get_running_loop()
@@ -158,19 +158,19 @@
 
 
 def call_after_iterations(turns, work):
-    """Call ``work`` so many turns of the loop from now."""
+    """Call ``work`` after that many loop iterations."""
     loop = asyncio.get_running_loop()
     loop.call_soon(work if turns == 1 else partial(call_after_iterations, turns - 1, work))
 
 
 class SilentEndpointTest(unittest.TestCase):
-    """Half of all notes are lost for as long as one endpoint takes requests and answers none.
+    """Failure guarded against: half of all requests time out at an endpoint that answers none.
 
-    A note may be written once only, so it waits for its answer to the end of its time. Nothing is
-    learnt from that: the next one is sent there again.
+    A request that may run only once waits for its answer until its deadline. That did not count
+    against the endpoint, so the next request was sent there again.
     """
 
-    def test_an_endpoint_that_lets_time_run_out_is_passed_over(self):
+    def test_an_endpoint_that_never_answers_is_avoided(self):
         async def check():
             async with Deployment(pages=("p1", "p2")) as found:
                 found.pages["p1"].script = ["silent"] * 20
--- a/tests/relay/test_early.py
+++ b/tests/relay/test_early.py
@@ -1,4 +1,4 @@
-"""An endpoint answers before it has read a long body, and goes on reading."""
+"""An endpoint that answers before it has read a long body, and reads on."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class EarlyEndpoint:
-    """Answers at the end of each head, then reads the body; ``bodies`` has what it got."""
+    """Answers after each head, then reads the body; ``bodies`` holds the bytes received."""
 
     def __init__(self):
         self.bodies = []
@@ -36,10 +36,10 @@
 
 
 class EarlyAnswerTest(unittest.TestCase):
-    """A runner is given one request's bytes as the rest of another's body.
+    """Failure guarded against: a runner reads one request as the rest of another's body.
 
-    It answers a long request before it has read it and keeps the connection. The next request goes
-    out on that connection while the rest of the first body is still due.
+    It answers a long request before it has read the body and keeps the connection. The next request
+    is sent on that connection while the rest of the first body is still missing.
     """
 
     def test_the_next_request_is_never_read_as_the_rest_of_a_body(self):
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -1,4 +1,4 @@
-"""How an endpoint's answer may end, and which ends are whole."""
+"""The ways in which an endpoint's answer may end, and which of them are complete."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 
 
 class Endpoint:
-    """An endpoint that sends fixed bytes after a request's head, then closes or resets."""
+    """Sends fixed bytes after a request's head, then closes or resets the connection."""
 
     def __init__(self, raw: bytes, reset: bool):
         self._raw = raw
@@ -36,7 +36,7 @@
         writer.write(self._raw)
         await writer.drain()
         if self._reset:
-            # The bytes must have been read before the reset throws them away.
+            # The reset discards unread bytes, so the client must have read them first.
             await self.read.wait()
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -58,11 +58,10 @@
 
 
 class EndingsTest(unittest.TestCase):
-    """A caller gets a note page that lacks its second half, and nothing says so.
+    """Failure guarded against: a caller gets half of an answer without any error.
 
-    The endpoint answers without a length, so its answer ends with its connection. On the way the
-    connection is reset after half of the body. Taken as an end, half of the page is passed on as
-    the whole.
+    The endpoint answers without a length, so the answer ends with the connection. The connection is
+    reset after half of the body, and the reset is taken for the end of the answer.
     """
 
     @params(
--- a/tests/relay/test_events.py
+++ b/tests/relay/test_events.py
@@ -1,4 +1,4 @@
-"""Events are passed on whole, whatever the bytes' borders."""
+"""Streams are split into complete events, whatever the chunk boundaries."""
 
 import unittest
 
@@ -16,10 +16,10 @@
 
 
 class EventsTest(unittest.TestCase):
-    """A caller's recap has a sentence cut in two, with another's half behind it.
+    """Failure guarded against: a caller gets one and a half events after a resume.
 
-    An endpoint breaks off in the middle of an event. The bytes so far are passed on, the stream is
-    taken up elsewhere with the whole event again, and the caller has one and a half.
+    An endpoint breaks off in the middle of an event. The partial event is passed on, and the stream
+    is resumed elsewhere with the complete event.
     """
 
     @given(st.lists(st.integers(0, len(STREAM)), max_size=20))
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -1,4 +1,4 @@
-"""What a host sees of its own state: how late its loop is, connections, descriptors."""
+"""A host's monitoring of its loop lag, connections and file descriptors."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 
 CFG = Settings("h1", "north", "http://unused", "a key of sixteen")
 COUNT = DescriptorCount(40, 4100)
-# Seconds of each turn of a host that is behind.
+# Seconds of each loop iteration on a host with a late loop.
 ITERATION_SECONDS = 0.21
 
 
@@ -25,10 +25,10 @@
         return runner.run(work)
 
 
-class TurnsTest(unittest.TestCase):
+class LoopIterationsTest(unittest.TestCase):
     @params(
-        ("read at once: it may have come since the turn before began", 0.4, 0.0, 0.4),
-        ("waited for: it has come just now", 0.4, 0.2, 0.0),
+        ("read at once: it may have arrived during the previous iteration", 0.4, 0.0, 0.4),
+        ("waited for: it has just arrived", 0.4, 0.2, 0.0),
     )
     def test_what_is_read_has_an_earliest_time(self, name, busy, idle, expected):
         clock = FakeClock()
@@ -40,7 +40,7 @@
         self.assertAlmostEqual(expected, clock.time - turns.since(), msg=name)
 
     @params(
-        ("a long turn", 0.7, 0.0, 0.0, 0.7),
+        ("a long iteration", 0.7, 0.0, 0.0, 0.7),
         ("a wait that ended too late", 0.0, 0.9, 0.2, 0.7),
         ("a wait that was to last", 0.0, 0.2, 0.2, 0.0),
     )
@@ -69,9 +69,9 @@
 
 
 class HostMonitorTest(unittest.TestCase):
-    """An operator looks for why callers of one host wait, and finds nothing.
+    """Failure guarded against: callers wait at a host whose logs show no reason.
 
-    The host's loop is seconds behind: all it logs is as usual, only later.
+    The host's loop is seconds late: it logs the usual lines, only later.
     """
 
     def make_monitor(self, count=COUNT):
@@ -127,10 +127,10 @@
         asyncio.run(monitor.check())
         self.assertEqual([], ctx.timeline.select(Filter()))
 
-    def test_a_host_in_trouble_is_looked_at_more_often(self):
-        """Callers miss a host for up to 3.1 s after it has caught up.
+    def test_an_overloaded_host_is_checked_more_often(self):
+        """Failure guarded against: a host stays unready for up to 3.1 s after it has recovered.
 
-        Its calm shows two seconds after its last long turn, and was looked for once a second.
+        Recovery shows two seconds after the last long iteration, and was checked once a second.
         """
         _, _, _, monitor = self.make_monitor()
         usual = monitor.check_interval()
@@ -142,11 +142,11 @@
         self.assertEqual(usual, monitor.check_interval())
 
     @params(0.0, 0.3, 0.6, 0.9)
-    def test_a_host_is_found_behind_in_the_time_it_is_allowed(self, phase):
-        """Callers wait at a host that has been behind for four seconds and counts as ready.
+    def test_a_late_loop_is_detected_in_time(self, phase):
+        """Failure guarded against: a host with a late loop counts as ready after four seconds.
 
-        It got behind right after a look, and the time was counted from the next one, a second
-        later; then it was looked at once a second, with a jitter of a tenth.
+        Its loop became late right after a check, and the time was counted from the next check, a
+        second later; further checks came once a second, with a jitter of a tenth.
         """
         clock, _, turns, monitor = self.make_monitor()
         asyncio.run(monitor.check())
--- a/tests/relay/test_logs.py
+++ b/tests/relay/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs never hold up the host that writes them."""
+"""Logging never blocks the host."""
 
 import logging
 import os
@@ -12,12 +12,12 @@
 
 
 class FullPipeTest(unittest.TestCase):
-    """Every stream of a host stands still.
+    """Failure guarded against: all streams of a host stall when its log collector stops reading.
 
-    The collector of its logs has stopped reading, the pipe is full, and the next line waits for it.
+    The pipe is full, and writing the next line blocks the event loop.
     """
 
-    def test_a_reader_that_does_not_read_blocks_nothing(self):
+    def test_a_full_pipe_does_not_block(self):
         reader, writer = os.pipe()
         with open(writer, "w") as stream:
             handler = BoundedHandler(stream, most=50)
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -1,4 +1,4 @@
-"""What one lost call, one old word or one row that can't be read must not bring about."""
+"""Single faults with wide effects: a lost call, a stale fact, a row that can't be decoded."""
 
 import asyncio
 import unittest
@@ -30,10 +30,10 @@
 
 class BadRowTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_follower_survives_rows_that_cannot_be_applied(self):
-        """Requests reach an endpoint that left, on all hosts and for good.
+        """Failure guarded against: all hosts send to a removed endpoint until they restart.
 
-        Another writer put a row of an odd shape into the table. Taking it in raised "unhashable
-        type: 'list'", which ended the task that follows the store, without a log line.
+        Another writer put a malformed row into the table. Applying it raised "unhashable type:
+        'list'", which ended the task that follows the store, without a log line.
         """
         clock, applied = FakeClock(), []
         tables = FlakyTables(clock)
@@ -68,14 +68,14 @@
 
 class KnownGapTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_host_with_a_known_gap_keeps_fetching(self):
-        """A host goes on by an old configuration though it has heard of a newer one.
+        """Failure guarded against: a host keeps an old configuration but knows of a newer one.
 
-        An older answer of another host, or the word of one that read before, passed for proof that
+        An older answer of another host, or an update of a previous reader, counted as proof that
         nothing is missing.
         """
         for name, late in (
             ("an older answer", Rows("rows", "t", "peer", 1, 1, 5, {}, direct=True, whole=True)),
-            ("the word of a reader before", Rows("rows", "t", "before", 1, 1, 3)),
+            ("an update of a previous reader", Rows("rows", "t", "before", 1, 1, 3)),
         ):
             with self.subTest(name):
                 clock = FakeClock()
@@ -88,8 +88,8 @@
                 follower.feed(late)
                 self.assertFalse(follower._rests())
 
-    async def test_a_change_that_was_late_to_come_is_not_taken_for_new(self):
-        """Hosts believe in a view for 0.4 s more than it is worth.
+    async def test_a_delayed_answer_keeps_its_age(self):
+        """Failure guarded against: hosts treat a view as valid for 0.4 s too long.
 
         An answer without changes is as old as the end of the time for which the store held it.
         """
@@ -116,7 +116,7 @@
 
 class DroppedHistoryTest(unittest.IsolatedAsyncioTestCase):
     async def test_the_reader_publishes_the_whole_table_after_the_history_was_dropped(self):
-        """All hosts ask the store at once after it dropped its history."""
+        """Failure guarded against: a dropped history makes all hosts read the store at once."""
         clock = FakeClock()
         wire, stored = Wire(clock, 0.1), Stored()
         reader = HostViews(clock, wire, stored, 2.0, leads=True)
@@ -150,10 +150,10 @@
 
 class LeaseTest(unittest.TestCase):
     def test_one_lost_renewal_does_not_cost_the_lease(self):
-        """No model is loaded for seconds after one call of the store was lost.
+        """Failure guarded against: no model is loaded for seconds after one lost store call.
 
         The renewal was lost, the row then read was still this host's, and the next renewal came
-        after the lease had lapsed: 0.7 s, 0.6 s until the call counts as lost, 0.7 s, of 1.6 s.
+        after the lease of 1.6 s had expired: 0.7 s, 0.6 s until the call counts as lost, 0.7 s.
         """
         clock, store, suspected = Uptime(), FakePlatform(), []
         lease = Leadership(
@@ -181,7 +181,10 @@
         self.own_board, self.other_board = Board("h1", 1, self.clock), Board("h2", 1, self.clock)
 
     async def test_unreachable_reports_of_a_dead_host_expire_with_it(self):
-        """An engine gets no order for two minutes: a host that died could not connect to it."""
+        """Failure guarded against: an engine gets no order for two minutes.
+
+        A host that has died since had reported that it could not connect to the engine.
+        """
         members = Membership(self.own_board, host_fact("h1"), self.clock)
         members.beat()
         self.other_board.publish("host", host_fact("h2"))
@@ -194,9 +197,9 @@
         self.assertEqual(set(), Peers.down(peers))
 
     async def test_engine_news_keeps_its_age(self):
-        """Requests wait for a model that should have been there half a minute ago.
+        """Failure guarded against: requests wait for a model that was due half a minute ago.
 
-        The word "coming in 2.0 s" came late, by way of a third host, and counted as just said.
+        The report "coming in 2.0 s" arrived late, through a third host, and counted as new.
         """
         fleet = RelayFleet("north", self.clock)
         fleet.replace([EndpointEntry("e1", "s", "1:1", "north", 1, False)])
@@ -216,9 +219,10 @@
 class PlanTest(unittest.TestCase):
     @run
     async def test_ordering_goes_on_after_a_plan_that_failed(self):
-        """No model is loaded any more, and no other host takes over.
+        """Failure guarded against: no model is loaded any more, and no other host takes over.
 
-        One plan raised an exception, which ended the task that orders; the lease was renewed on.
+        One plan raised an exception, which ended the task that orders engines while the lease was
+        still being renewed.
         """
         async with Deployment(hosts=1) as found:
             host = found.hosts[0]
@@ -238,10 +242,10 @@
 class DrainRaceTest(unittest.TestCase):
     @run
     async def test_a_request_placed_before_a_drain_notice_is_not_sent_after_it(self):
-        """A request reaches an endpoint 2.6 s after its word that it leaves, where 2.0 are allowed.
+        """Failure guarded against: a request arrives 2.6 s after a drain notice, 2.0 s are allowed.
 
-        The endpoint was chosen just before the word came; the connection to it took a while, as an
-        endpoint whose queue is full gives one late, and the request went out when it was there.
+        The endpoint was chosen just before its drain notice arrived. Its backlog was full, so the
+        connection was made late, and the request was sent as soon as it was.
         """
         async with Deployment(hosts=1, pages=("p1", "p2")) as found:
             host, loop = found.hosts[0], asyncio.get_running_loop()
@@ -270,7 +274,7 @@
 
 
 class StoreRetryTest(unittest.TestCase):
-    def test_a_store_that_refuses_is_not_asked_again_at_once(self):
-        """A store that turns all hosts away gets two calls a host within 0.03 s."""
+    def test_a_rejected_store_call_is_not_retried_at_once(self):
+        """Failure guarded against: a store that rejects calls gets two per host within 0.03 s."""
         self.assertEqual(0.0, wait_after(1, lost=True))
         self.assertGreater(wait_after(1, lost=False), 0.1)
--- a/tests/relay/test_pacing.py
+++ b/tests/relay/test_pacing.py
@@ -352,7 +352,7 @@
         server = GrantServer(
             host.ctx, host.fleet, lambda to, frame: self.told.append((to, frame)), find_domain
         )
-        server.take_deployment(host.front.deployment)
+        server.set_deployment(host.front.deployment)
         return server
 
     @run
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of workspaces over many hosts: never passed, and nothing refused that is within them."""
+"""Workspaces' quotas over many hosts: never exceeded, and no request within them is refused."""
 
 import asyncio
 import heapq
@@ -29,17 +29,17 @@
 REQUESTS = Quota(100.0, 100.0)
 WINDOW = 8.0
 OVER = 0.1
-# Units that the operators let a window go beyond, besides the share.
+# Units by which a window may exceed the quota, besides the share.
 TOLERANCE = {TOKENS: Tolerance(WINDOW, OVER, 110_000.0), REQUESTS: Tolerance(WINDOW, OVER, 20.0)}
 ALL = Filter()
 COST = {TOKENS: 9_200.0, REQUESTS: 1.0}
 
 
 class World:
-    """Hosts, one of them the hub, with words between them that take their time.
+    """Simulates hosts, one of them the hub, with delayed messages between them.
 
-    ``load`` gives what is asked for at a time, as a share of the quota's rate. ``groups`` divides
-    the hosts while they are cut from each other; the first of a group is its hub.
+    ``load`` returns the demand at a time as a share of the quota's rate. ``groups`` holds the
+    partitions of the hosts during a network fault; the first host of a group is its hub.
     """
 
     def __init__(self, quota, load, hosts=40, lag=0.25, seed=1):
@@ -61,7 +61,7 @@
         heapq.heappush(self.events, (time, next(self.sequence), work, args))
 
     def play(self, seconds, warm=10.0):
-        """Play so many seconds from time 0, after all have run for a while without requests."""
+        """Simulate ``seconds`` from time 0, after ``warm`` seconds without requests."""
         self.at(-warm, self._publish)
         self.at(0.0, self._arrive)
         while self.events and self.events[0][0] < seconds:
@@ -73,7 +73,7 @@
         return next(group for group in self.groups if host in group)[0]
 
     def _hub(self, name):
-        """The buckets of a hub; a new one begins with the last word that it has heard."""
+        """Return a hub's buckets; a new hub starts from the last fact that it received."""
         if name not in self.hubs:
             hub = self.hubs[name] = HubQuotas(self.tolerance)
             hub.start({"w": self.quota}, self.low_facts.get("last"), self._share(name), self.now)
@@ -102,7 +102,7 @@
                 self.at(self.now + self.lag / 2, self._receive, group[0], low)
 
     def _merge_usage(self):
-        """Each hub takes in what is known of the hosts that it reaches, as old as it is."""
+        """Merge the usage of reachable hosts into each hub, with its age."""
         for host, (epoch, usage, at) in self.usages.items():
             if host in self.hosts:
                 hub, quotas = self.hub_of(host), {"w": self.quota}
@@ -136,21 +136,21 @@
     # Faults
 
     def lose_hub(self, seconds):
-        """The hub is lost in silence; another one is found after some seconds."""
+        """Crash the hub; hosts use another one after ``seconds``."""
         self.silent_until = self.now + seconds
         lost = self.groups[0].pop(0)
         del self.hosts[lost]
         self.low_facts.pop(lost, None)
 
     def restart_all(self, seconds):
-        """All hosts start again and know nothing."""
+        """Restart all hosts without any state."""
         self.hosts = {name: HostQuotas(self.tolerance) for name in self.hosts}
         self.epochs = {name: epoch + 1 for name, epoch in self.epochs.items()}
         self.hubs, self.low_facts, self.last_published, self.usages = {}, {}, {}, {}
         self.silent_until = self.now + seconds
 
     def partition(self, seconds):
-        """A third of the hosts can't be reached by the others."""
+        """Partition a third of the hosts from the others."""
         [whole] = self.groups
         third = len(whole) // 3
         self.groups = [whole[third:], whole[:third]]
@@ -161,7 +161,7 @@
         self.hubs = {whole[0]: self.hubs[whole[0]]}
 
     def max_in_window(self):
-        """The most units that were served in a window."""
+        """Return the maximum of units served in a window."""
         best = total = first = 0
         for time, cost in self.served:
             total += cost
@@ -180,20 +180,20 @@
 
 
 def overload(now):
-    """Usual load, then seven and a half times as much."""
+    """Return the usual load, or 7.5 times as much between 6 s and 18 s."""
     return 0.6 if now < 6 or now > 18 else 4.5
 
 
 FAULTS = {
     "none": lambda world: None,
-    "hub lost as it grows hot": lambda world: world.at(6.0, world.lose_hub, 1.5),
-    "hub lost while it is hot": lambda world: world.at(9.0, world.lose_hub, 1.5),
+    "hub lost as the load rises": lambda world: world.at(6.0, world.lose_hub, 1.5),
+    "hub lost under overload": lambda world: world.at(9.0, world.lose_hub, 1.5),
     "hubs lost in turn": lambda world: [
         world.at(6.0 + 2.5 * n, world.lose_hub, 1.2) for n in range(4)
     ],
-    "all killed while it is hot": lambda world: world.at(9.0, world.restart_all, 1.0),
-    "all killed as it grows hot": lambda world: world.at(6.2, world.restart_all, 1.0),
-    "cut in two": lambda world: world.at(8.0, world.partition, 5.0),
+    "all restarted under overload": lambda world: world.at(9.0, world.restart_all, 1.0),
+    "all restarted as the load rises": lambda world: world.at(6.2, world.restart_all, 1.0),
+    "partitioned": lambda world: world.at(8.0, world.partition, 5.0),
 }
 
 
@@ -206,13 +206,13 @@
         self.assertLessEqual(world.max_in_window(), world.bound())
 
     @params(TOKENS, REQUESTS)
-    def test_a_hot_workspace_gets_what_it_may_have(self, quota):
+    def test_an_overloaded_workspace_gets_its_full_quota(self, quota):
         world = World(quota, lambda now: 4.5).play(20.0)
         self.assertGreater(world.units(), 0.95 * quota.rate * 20.0)
 
     @params(*itertools.product((TOKENS, REQUESTS), (0.4, 0.6), (1, 2)))
     def test_nothing_within_the_quota_is_refused_when_the_hub_is_lost(self, quota, load, seed):
-        """All callers get 429 for seconds: a new hub charges what the last one had charged."""
+        """Failure guarded against: a new hub charges usage again, and all callers get 429."""
         world = World(quota, lambda now: load, seed=seed)
         world.at(15.0, world.lose_hub, 1.2)
         self.assertEqual(0, world.play(20.0).refused)
@@ -223,7 +223,7 @@
         self.assertEqual(0, world.refused)
 
     def test_shares_of_hosts_would_refuse_what_is_within(self):
-        """Forty hosts with a fortieth each: a request is more than a share holds."""
+        """With the quota divided among forty hosts, one request exceeds a host's share."""
         rng, now, refused, count = random.Random(1), 0.0, 0, 0
         share = TOKENS.rate / 40
         buckets = [Bucket(share, 0.0) for _ in range(40)]
@@ -265,14 +265,14 @@
         for epoch, units in ((1, 40), (1, 60), (2, 10)):
             hub.note_usage("h", epoch, Usage({"w": units}, {}), quotas, 1.0, 0.0)
         self.assertEqual(0.0, hub.take("w", REQUESTS, 1.0, 1.0, 0.0))
-        # The first word of a host counts from the last hub's, and then 20 and 10 units come.
+        # The first usage fact sets the base; 20 and 10 units are added after it.
         self.assertEqual({"w": 70}, hub.low(quotas, 1.0, 0.0))
 
 
 class HostTest(unittest.TestCase):
     @run
     async def test_requests_over_quota_get_429_and_retry_after(self):
-        """One workspace takes all engines, or is told to come back at a time that is not true."""
+        """Failure guarded against: a workspace uses all engines, or gets a wrong retry-after."""
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
             await configure(found, 2, [RIVER | limit, HILL])
@@ -306,7 +306,7 @@
 
     @run
     async def test_what_did_not_run_is_not_counted(self):
-        """A workspace is refused at its quota for requests that no endpoint ran."""
+        """Failure guarded against: requests that no endpoint ran count against a quota."""
         limit = {"rate_per_s": 1, "burst": 50}
         async with Deployment() as found:
             await configure(found, 2, [RIVER | limit])
@@ -318,7 +318,7 @@
 
     @run
     async def test_a_hub_that_does_not_reply_on_quotas_is_logged(self):
-        """Callers get 429 by a host's own share, and no line tells that the hub was silent."""
+        """Failure guarded against: callers get 429 by a host's own share without a log line."""
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
             await configure(found, 2, [RIVER | limit])
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Limits that endpoints name in their answers: so many requests a second from all hosts."""
+"""Rate limits that endpoints announce in answers: requests per second from all hosts."""
 
 import asyncio
 import itertools
@@ -24,7 +24,7 @@
 from tests.relay.test_relay import run
 
 ENTRY = EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False)
-# Seconds in any of which an endpoint may get one and a half times its limit, and five requests.
+# Window in seconds in which an endpoint may get 1.5 times its limit, plus five requests.
 WINDOW = 4.0
 
 
@@ -47,21 +47,25 @@
         ("it binds at once", [(2.0, 1.0, 1.1)], 2.0),
         ("the newest counts", [(2.0, 1.0, 1.1), (1.0, 1.0, 1.2)], 1.0),
         ("it ends", [(2.0, 1.0, 1.1), (math.inf, 1.2, 1.3)], math.inf),
-        ("an answer that was overtaken ends nothing", [(2.0, 1.0, 1.1), (math.inf, 1.0, 1.3)], 2.0),
+        (
+            "an answer received out of order ends nothing",
+            [(2.0, 1.0, 1.1), (math.inf, 1.0, 1.3)],
+            2.0,
+        ),
         ("what can't be read changes nothing", [(2.0, 1.0, 1.1), (None, 1.2, 1.3)], 2.0),
     )
-    def test_successive_limit_announcements(self, name, words, expected):
+    def test_successive_limit_announcements(self, name, announcements, expected):
         state = EndpointState(ENTRY, Health())
-        for rate, sent, now in words:
+        for rate, sent, now in announcements:
             state.note_limit(rate, sent, now)
         self.assertEqual(expected, state.limit.rate, name)
 
 
 class World:
-    """Hosts that all send to one endpoint, by permits of the hub that each takes for the hub.
+    """Simulates hosts that send to one endpoint with permits of the host they regard as the hub.
 
-    ``limit`` gives the endpoint's limit at a time. ``groups`` are how many groups of equal size the
-    hosts are cut into, each with a hub of its own.
+    ``limit`` returns the endpoint's limit at a time. ``groups`` is the number of equal partitions
+    of the hosts, each with its own hub.
     """
 
     def __init__(self, limit, request_rate, seed, groups=1):
@@ -72,7 +76,7 @@
         self.arrivals, self.denied = [], 0
 
     def lose_hub(self, overlap):
-        """All hosts go over to a new hub, each at some moment within ``overlap`` seconds."""
+        """Switch all hosts to a new hub, each at a random time within ``overlap`` seconds."""
         self.old_hubs, self.hubs = self.hubs, [Permits() for _ in self.hubs]
         self.lost_at, self.overlap = self.now, overlap
 
@@ -105,7 +109,7 @@
         *itertools.product(
             (0.0, 0.3, 1.0, 1.3, 5.0, 20.0),
             (
-                ("calm", 1, ()),
+                ("no fault", 1, ()),
                 ("the hub is lost", 1, ((10.0, lambda world: world.lose_hub(2.0)),)),
                 (
                     "two hubs are lost in turn",
@@ -127,7 +131,7 @@
             self.assertLessEqual(most, 1.5 * WINDOW * limit + 5, (name, seed))
 
     @params(0.5, 1.0, 1.3, 5.0, 20.0)
-    def test_an_endpoint_gets_nearly_all_that_it_takes(self, limit):
+    def test_an_endpoint_gets_nearly_its_whole_limit(self, limit):
         world = World(lambda now: limit, 6 * limit, 1).play(40.0)
         self.assertGreater(len(world.arrivals), 0.9 * limit * 40.0 - 2)
 
@@ -136,8 +140,8 @@
         after = [at for at in world.arrivals if at > 11.1]
         self.assertLessEqual(most_in_window(after, 11.1), 1.5 * WINDOW + 5)
 
-    def test_an_endpoint_that_takes_nothing_is_asked_now_and_then(self):
-        """A limit of 0 ended, and nobody heard of it, as only answers tell."""
+    def test_an_endpoint_with_a_zero_limit_is_probed(self):
+        """Failure guarded against: the end of a limit of 0 is missed, as only answers report it."""
         world = World(lambda now: 0.0, 5.0, 1).play(60.0)
         self.assertGreater(len(world.arrivals), 5)
 
@@ -155,8 +159,8 @@
         self.assertFalse(next_start(known, replace(ENTRY, started_ms=7)).limited)
 
     @run
-    async def test_an_endpoint_whose_entry_was_away_is_held_to_what_it_said(self):
-        """An entry lapses while the store is away; when it is back, the limit is not known."""
+    async def test_a_limit_survives_a_missing_entry(self):
+        """Failure guarded against: a limit is lost when the entry lapses during a store outage."""
         fleet = RelayFleet("north", FakeClock())
         fleet.replace([ENTRY])
         fleet.states["e1"].note_limit(1.0, 1.0, 1.1)
@@ -168,7 +172,7 @@
 
 class PacingTest(unittest.TestCase):
     def test_prompts_wait_for_the_permits_of_the_only_engine(self):
-        """The hub grants prompts for an engine in need as fast as it reads them."""
+        """Failure guarded against: a limited engine gets prompts as fast as its prefill allows."""
         permits, pacer, granted, denied, now = Permits(), Pacer(random.Random(1)), [], 0, 0.0
         work = Work(900, 0, 0.00002, 0.5)
 
@@ -191,8 +195,8 @@
         self.assertGreater(len(granted), 16)
         self.assertGreater(denied, 70)
 
-    def test_of_many_prompts_of_one_moment_one_gets_the_permit(self):
-        """All prompts that wait when a permit comes go to the engine together."""
+    def test_one_of_many_simultaneous_prompts_gets_the_permit(self):
+        """Failure guarded against: all waiting prompts are sent on one permit."""
         pacer = Pacer(random.Random(1))
         for number in range(20):
             pacer.add(PromptAsk(number, "m0", Work(10, 0, 0.00002, 0.5), 0, 1.0, 30.0))
@@ -202,13 +206,13 @@
 
 
 def most_in_window(times, since, window=WINDOW):
-    """The most of ``times`` in a window that ends after ``since``."""
+    """Return the maximum number of ``times`` in a window that ends after ``since``."""
     ends = [at for at in times if at >= since]
     return max((sum(end - window < at <= end for at in times) for end in ends), default=0)
 
 
 async def burst(found, path, model, seconds, gap=0.05):
-    """Send requests to all hosts in turn; return the answers, with the seconds that each took."""
+    """Send requests to all hosts in turn; return the answers and the seconds of each."""
     loop, tasks = asyncio.get_running_loop(), []
 
     async def ask(number):
@@ -225,7 +229,7 @@
 
 
 class DeploymentTest(unittest.TestCase):
-    """An endpoint in need names a limit, and all hosts go on sending as before."""
+    """Failure guarded against: an endpoint announces a limit, and hosts do not reduce requests."""
 
     async def check_limited(self, path, model, service):
         engines = (("e1", ("m0",)), ("e2", ("m0",)))
@@ -253,8 +257,8 @@
         await self.check_limited("/recap/", "m0", "engines")
 
     @run
-    async def test_callers_of_the_only_endpoint_are_told_when_to_come_back(self):
-        """Callers wait out their deadline at an endpoint that takes no more for now."""
+    async def test_callers_of_the_only_endpoint_get_a_retry_after(self):
+        """Failure guarded against: callers wait until the deadline at a limited endpoint."""
         async with Deployment(hosts=3) as found:
             found.pages["p1"].says = {"server-limit": "2.0"}
             named = asyncio.get_running_loop().time()
@@ -268,7 +272,7 @@
 
     @run
     async def test_a_limit_that_ends_is_forgotten_on_all_hosts(self):
-        """An endpoint is well again, and gets next to nothing."""
+        """Failure guarded against: an endpoint gets hardly any requests after its limit ended."""
         async with Deployment(hosts=3) as found:
             page, name = found.pages["p1"], "p1"
             page.says = {"server-limit": "5"}
@@ -285,7 +289,7 @@
 
     @run
     async def test_hosts_publish_nothing_about_endpoints_without_a_limit(self):
-        """Each answer of each endpoint is news for all hosts, and their links are full of it."""
+        """Failure guarded against: every answer is published to all hosts and fills their links."""
         async with Deployment(hosts=2) as found:
             await burst(found, "/fetch/", "", 0.5)
             told = [host.peers.board.on(topic) for host in found.hosts for topic in (HEARD, TOLD)]
@@ -295,7 +299,7 @@
 
     @run
     async def test_a_new_hub_knows_the_limits_that_hosts_had_read(self):
-        """The hub is lost, and the endpoint gets what it takes once more from each host."""
+        """Failure guarded against: after a hub is lost, each host uses the whole limit."""
         async with Deployment(hosts=3) as found:
             page = found.pages["p1"]
             page.says = {"server-limit": "1"}
@@ -311,7 +315,7 @@
 
     @run
     async def test_reports_and_orders_keep_to_the_limit_too(self):
-        """The host that orders engines asks one in need for a report three times a second."""
+        """Failure guarded against: a limited engine gets three requests for reports a second."""
         async with Deployment(hosts=3) as found:
             engine = found.engines["e1"]
             await found.until(lambda: any(host.leadership.holds() for host in found.hosts))
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -1,4 +1,4 @@
-"""Requests that endpoints refuse: what they lack, and places that are taken for a moment."""
+"""Requests that endpoints refuse: missing items, and endpoints that are full for a moment."""
 
 import asyncio
 import json
@@ -44,18 +44,20 @@
         ("as long as an entry is old", LACKS_SECONDS, (), False),
         ("later its entry counts", LACKS_SECONDS + 0.1, (), True),
         ("news that repeats the error changes nothing", 0.5, (ITEMS, ITEMS), False),
-        ("news that knows", 0.5, ({"m0"},), False),
-        ("news that it has come since", 0.5, ({"m0"}, ITEMS), True),
+        ("news without the item", 0.5, ({"m0"},), False),
+        ("news that it was loaded since", 0.5, ({"m0"}, ITEMS), True),
     )
-    def test_a_refusal_overrides_older_news_of_the_endpoint(self, name, later, heard, expected):
+    def test_a_refusal_overrides_older_news_of_the_endpoint(
+        self, name, later, news_items, expected
+    ):
         state = self.state()
         self.assertTrue(state.holds(WISH, 10.0))
         state.note_lack(WISH, 10.0)
-        for items in heard:
+        for items in news_items:
             self.receive_news(state, items, 10.0 + later)
         self.assertEqual(expected, state.holds(WISH, 10.0 + later), name)
 
-    def test_an_entry_that_knows_lets_the_next_one_count(self):
+    def test_an_entry_counts_after_one_without_the_item(self):
         state = self.state()
         entry = state.entry
         state.note_lack(WISH, 10.0)
@@ -67,10 +69,10 @@
 
     @run
     async def test_a_request_waits_for_a_missing_item(self):
-        """A caller is told to come back though its model is there in a quarter of a second.
+        """Failure guarded against: a caller is refused, and its model is there 0.25 s later.
 
-        An adapter was dropped, and the entry that says so is still on its way. The request went to
-        the same endpoint three times within four milliseconds, and was refused each time.
+        An adapter was dropped, and the changed entry has not arrived yet. The request went to the
+        same endpoint three times within four milliseconds, and was refused each time.
         """
         async with Deployment() as found:
             runner, host = found.engines["e1"], found.hosts[0]
@@ -91,7 +93,7 @@
 
     @run
     async def test_a_missing_item_does_not_count_against_health(self):
-        """An endpoint gets nothing for seconds: some requests asked it for what it had dropped."""
+        """Failure guarded against: missing items make an endpoint suspect for seconds."""
         async with Deployment() as found:
             host = found.hosts[0]
             state = host.fleet.states["e1"]
@@ -117,9 +119,10 @@
 
     @run
     async def test_a_short_refusal_is_retried_after_a_backoff(self):
-        """Brokers are told to come back, though a place was free forty milliseconds later.
+        """Failure guarded against: a caller is refused, and there is capacity 40 ms later.
 
-        A burst fills the only endpoint of a service. A refused request went there again at once.
+        A burst fills the only endpoint of a service. A refused request was sent there again at once
+        and refused again.
         """
         async with Deployment() as found:
             runner = found.pages["p1"]
@@ -132,9 +135,9 @@
 
     @run
     async def test_a_refusal_keeps_its_connection(self):
-        """An endpoint that is full spends its time on new connections, a millisecond for each.
+        """Failure guarded against: a full endpoint spends a millisecond on each new connection.
 
-        Each refusal closed the connection that it came over.
+        Each refusal closed the connection that it was received on.
         """
         async with Deployment() as found:
             runner = found.pages["p1"]
@@ -145,10 +148,11 @@
             self.assertEqual(1, runner.accepted)
 
     @run
-    async def test_an_old_refusal_is_not_taken_for_this_ones(self):
-        """A caller is told that its binding has not run, and it has: two policies.
+    async def test_a_late_refusal_of_another_request_is_detected(self):
+        """Failure guarded against: a caller gets "not run" for a request that has run.
 
-        The refusal of an earlier request came late, where the answer to the next was expected.
+        The refusal of an earlier request arrived late and was read as the answer to the next one,
+        which the caller sent again, so that it ran twice.
         """
         async with Deployment() as found:
             found.pages["p1"].script = ["refuse another"]
@@ -161,11 +165,11 @@
 
 class SilentStreamTest(unittest.TestCase):
     @run
-    async def test_a_stream_that_only_one_endpoint_can_give_is_waited_for(self):
-        """A draft breaks off in the middle, though the engine was at work on it all the time.
+    async def test_a_stalled_stream_of_the_only_endpoint_is_waited_for(self):
+        """Failure guarded against: a stream breaks off although its engine works on it.
 
-        The only engine with the model is crowded and pauses for over a second. The stream was taken
-        back, sent to the same engine again, and broken off at its second pause.
+        The only engine with the model is overloaded and pauses for over a second. The stream was
+        cancelled, sent to the same engine again, and broken off at its second pause.
         """
         async with Deployment() as found:
             runner = found.engines["e1"]
@@ -183,11 +187,11 @@
     @params(
         ("short ones", 0.4, (0.1, 0.3, 0.2), 0.3, []),
         ("one too long", 0.4, (0.1, 0.5, 0.2), 0.5, ["0.500 s before event 2"]),
-        ("the longest is told", 0.4, (0.5, 0.9, 0.6), 0.9, ["0.900 s before event 2"]),
+        ("the longest is logged", 0.4, (0.5, 0.9, 0.6), 0.9, ["0.900 s before event 2"]),
         ("a route without a limit", 0.0, (0.1, 0.5), 0.5, []),
     )
-    def test_a_pause_that_spoils_an_answer_is_logged(self, name, limit, waits, longest, told):
-        """A caller complains of a stalling draft, and the logs show a first event in time."""
+    def test_a_pause_over_the_limit_is_logged(self, name, limit, waits, longest, told):
+        """Failure guarded against: a stream stalls, and the logs show only a timely first event."""
         clock, events, observed = FakeClock(), [], []
         metrics = SimpleNamespace(
             item_label=str,
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -1,4 +1,4 @@
-"""Requests through a real host, with runners that misbehave: commands and what callers get."""
+"""Requests through a real host to runners that fail, and the answers that callers get."""
 
 import asyncio
 import json
@@ -67,10 +67,9 @@
         ("unsigned", 502, False),
     )
     def test_not_run_is_reported_only_when_it_is_true(self, step, expected, retry):
-        """A fleet gets two policies.
+        """Failure guarded against: a request that may run only once runs twice.
 
-        A binding is sent, its runner is lost with the answer, and the caller is told "not run". It
-        sends the binding again, and both run.
+        The runner is lost with the answer, the caller gets "not run" and sends the request again.
         """
 
         @run
@@ -102,10 +101,10 @@
 
     @run
     async def test_a_refused_second_send_does_not_hide_that_the_first_may_have_run(self):
-        """A caller is told "not run" of a request that has run.
+        """Failure guarded against: a caller gets "not run" for a request that has run.
 
         The first endpoint is lost with its answer; the request is sent again, and the second
-        endpoint refuses it. Its word holds for its own send alone.
+        endpoint refuses it. A refusal applies to its own send only.
         """
         async with Deployment(pages=("p1", "p2")) as found:
             steps = ["cut", "refuse", "refuse", "refuse"]
@@ -124,11 +123,11 @@
             self.assertEqual("by p1", headers["x-response-signature"])
 
     @run
-    async def test_an_extra_answer_belongs_to_no_request(self):
-        """A broker's quote shows another fleet's premium.
+    async def test_a_second_answer_is_not_passed_on(self):
+        """Failure guarded against: a caller gets the answer to another request.
 
-        A runner sends its answer twice. The second stays in the connection, where the next
-        request's answer is expected.
+        A runner sends its answer twice. The second one stays in the connection and is read as the
+        answer to the next request.
         """
         async with Deployment() as found:
             found.pages["p1"].script = ["extra"]
@@ -146,11 +145,11 @@
             self.assertEqual("by e1", headers["x-response-signature"])
 
     @run
-    async def test_a_cut_stream_goes_on_elsewhere_after_its_last_event(self):
-        """A master's scene breaks off in mid-sentence.
+    async def test_a_cut_stream_resumes_elsewhere_after_its_last_event(self):
+        """Failure guarded against: a stream breaks off when its runner is lost in mid-event.
 
-        A runner is lost in the middle of an event. The stream is taken up at another runner, and
-        each event reaches the caller once, under the first runner's receipt.
+        The stream is resumed at another runner, and each event reaches the caller once, under the
+        first runner's receipt.
         """
         async with Deployment(engines=TWO_ENGINES) as found:
             for engine in found.engines.values():
@@ -175,7 +174,7 @@
             self.assertEqual(receipt, headers["x-response-signature"])
 
     @run
-    async def test_a_stream_that_may_run_once_is_not_taken_up(self):
+    async def test_a_stream_that_may_run_once_is_not_resumed(self):
         async with Deployment(engines=TWO_ENGINES) as found:
             for engine in found.engines.values():
                 engine.script = ["cut"]
@@ -186,7 +185,7 @@
 
     @run
     async def test_a_disconnected_caller_stops_its_run(self):
-        """Runners work on for callers that have gone, while others wait.
+        """Failure guarded against: runners work for disconnected callers while others wait.
 
         A caller closes its connection in the middle of a stream; its runner must see that within
         half a second.
@@ -208,7 +207,7 @@
 
 class LoadOnDemandTest(unittest.TestCase):
     @params(("m1", "load", None), ("m0/a2", "load", "a2"))
-    def test_what_no_engine_holds_is_loaded_and_waited_for(self, model, operation, adapter):
+    def test_a_request_waits_for_the_load_of_a_missing_item(self, model, operation, adapter):
         @run
         async def check(self):
             async with Deployment() as found:
@@ -225,7 +224,7 @@
         async with Deployment(hosts=3) as found:
             await found.until(lambda: sum(h.leadership.holds() for h in found.hosts) == 1)
             await found.until(lambda: all(len(h.peers.membership.live()) == 3 for h in found.hosts))
-            # All link to one hub, which passes on what each of them tells.
+            # All hosts link to one hub, which passes on what each of them publishes.
             await found.until(
                 lambda: sorted(len(h.peers.mesh.peers()) for h in found.hosts) == [1, 1, 2]
             )
@@ -235,11 +234,11 @@
             self.assertEqual(1, len(holders))
 
     @run
-    async def test_a_crashed_only_holder_is_not_tried_again_and_again(self):
-        """Hundreds of sends a second go to a runner that is not there.
+    async def test_a_crashed_only_engine_is_not_retried_endlessly(self):
+        """Failure guarded against: hundreds of sends a second go to a crashed runner.
 
         The only runner with a model has crashed and its entry is still in the store. Its requests
-        must wait as for a model that nobody holds, until another runner has it.
+        must wait as for a model that no runner has, until another runner has loaded it.
         """
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m1",)))) as found:
             await found.until(lambda: found.hosts[0].leadership.may_order())
@@ -282,7 +281,7 @@
             await found.until(lambda: front.deployment.version == 3)
 
     @run
-    async def test_traffic_goes_on_while_the_store_is_away(self):
+    async def test_requests_are_served_during_a_store_outage(self):
         async with Deployment() as found:
             found.store.faults["down"] = True
             for number in range(3):
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces: whose key a request bears, what endpoints see of it, and keys that come and go."""
+"""Workspaces: identification by key, headers that endpoints get, and changes of keys."""
 
 import json
 import unittest
@@ -72,7 +72,7 @@
         self.assertEqual(Kind.MANIFEST_INVALID, decode(tenants=tenants).kind)
 
     def test_hosts_receive_key_digests_only(self):
-        """A key in a frame between hosts could be read on the way."""
+        """Failure guarded against: a key in a frame between hosts can be read in transit."""
         raw = json.dumps(CONFIG | WORKSPACE_CONFIG).encode()
         redacted = hide_keys(raw)
         self.assertNotIn(b"key-one", redacted)
@@ -83,7 +83,7 @@
 
 
 class IdentifierTest(unittest.TestCase):
-    """What a host answers by the age of its configuration; the bound of that is two seconds."""
+    """A host's answers by the age of its configuration, which is limited to two seconds."""
 
     @params(
         ("known key", "key-one", "/fetch/", 0.0, False, "river"),
@@ -91,7 +91,7 @@
         ("known key, cut off, strict", "key-one", "/fetch/", 4.9, True, "river"),
         ("known key, cut off for too long", "key-one", "/fetch/", 5.1, True, Kind.NOT_READY),
         ("unknown key", "key-nine", "/fetch/", 1.9, False, Kind.UNKNOWN_CALLER),
-        ("unknown key, host behind", "key-nine", "/fetch/", 2.1, False, Kind.NOT_READY),
+        ("unknown key, stale configuration", "key-nine", "/fetch/", 2.1, False, Kind.NOT_READY),
         ("no key", None, "/fetch/", 0.0, False, Kind.UNKNOWN_CALLER),
         ("no key, public route", None, "/open/", 0.0, False, None),
         ("unknown key, public route", "key-nine", "/open/", 0.0, False, None),
@@ -120,12 +120,12 @@
 
 
 def required_bounds(bounds):
-    """The bounds that every deployment sets."""
+    """Return the bounds that every deployment sets."""
     return [getattr(bounds, name) for name in Bounds.__dataclass_fields__][:10]
 
 
 async def configure(found, version, tenants):
-    """Put workspaces in force on the first host."""
+    """Configure workspaces and wait until the first host uses them."""
     found.configure(version=version, **(WORKSPACE_CONFIG | {"tenants": tenants}))
     await found.until(lambda: found.hosts[0].front.deployment.version == version)
 
@@ -165,7 +165,7 @@
 
     @run
     async def test_a_key_that_moves_names_its_new_workspace(self):
-        """A request runs under the workspace that gave the key away."""
+        """Failure guarded against: a request runs under the workspace that had the key before."""
         moved = [RIVER | {"api_keys": []}, HILL | {"api_keys": ["key-one"]}]
         async with Deployment() as found:
             names = []
