--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -82,7 +82,7 @@
         if reply is not None:
             return Permit(reply.given, reply.wait / 1000)
         self._ctx.timeline.add(
-            "hub_silent", "WARNING", endpoint=state.key, detail=f"{hub}, call for a permit"
+            "hub_silent", "WARNING", endpoint=state.key, detail=f"{hub}, on a permit"
         )
         return Permit(False, SILENT_HUB_BACKOFF_SECONDS)
 
