--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -378,8 +378,8 @@
             return
         self.front.deployment = found
         self.waiting_room.deployment = found
-        self.grants.server.take_deployment(found)
-        self.quotas.take_deployment(found)
+        self.grants.server.set_deployment(found)
+        self.quotas.set_deployment(found)
         self._publish_state()
         if current is None:
             self.lease_due.set()
