--- a/peridotdock/answers.py
+++ b/peridotdock/answers.py
@@ -42,7 +42,7 @@
     """Return the response for a failure, as :data:`ANSWERS` defines it.
 
     The ``openai`` clients read ``x-should-retry``. Without it they would retry a request that may
-    have run and must not run twice. ``keyed`` tells that the request has an idempotency key.
+    have run and must not run twice. ``keyed`` is True for a request with an idempotency key.
     """
     headers = [(b"x-request-id", request_id.encode()), (b"x-ran", reported_ran(failure).encode())]
     if failure.retry_after is not None:
--- a/peridotdock/keys.py
+++ b/peridotdock/keys.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Owner:
-    """The incarnation that may run a key, and its period (hours since its start) at the issue."""
+    """The incarnation that may run a key, and its period (in hours) when the key was issued."""
 
     incarnation: str
     period: int
@@ -34,7 +34,7 @@
 
 @dataclass
 class Record:
-    """The state of a key at its owner; without an outcome its request is still running."""
+    """The state of a key at its owner; without an outcome it is running or may run again."""
 
     fingerprint: bytes
     period: int
