--- a/peridotdock/decisions/adapters.py
+++ b/peridotdock/decisions/adapters.py
@@ -42,7 +42,7 @@
             if not free:
                 break
             engine = min(free, key=lambda e: (count_adapters(e), e.key))
-            draft.add(Step(engine.key, Action.LOAD, model.name, adapter, "free place"))
+            draft.add(Step(engine.key, Action.LOAD, model.name, adapter, "free slot"))
 
 
 def adapter_ready(draft: Draft, model: str, adapter: str) -> bool:
@@ -64,7 +64,7 @@
     slots = draft.spec.adapter_places
     engine = min(holders, key=lambda e: (count_adapters(e) >= slots, e.queued_tokens, e.key))
     if count_adapters(engine) < slots:
-        draft.add(Step(engine.key, Action.LOAD, model, adapter, "asked for"))
+        draft.add(Step(engine.key, Action.LOAD, model, adapter, "requested"))
         return
     found = [(engine, least_wanted_adapter(draft, engine)) for engine in holders]
     options = [(e, victim) for e, victim in found if victim is not None and not e.freeing_adapter]
--- a/peridotdock/decisions/draft.py
+++ b/peridotdock/decisions/draft.py
@@ -105,7 +105,9 @@
 
 @dataclass
 class Draft:
-    """The state of a plan while it is made. ``ordered_engines`` already have a step: each gets one.
+    """The state of a plan while it is made.
+
+    ``ordered_engines`` have a step of this plan already or may get none: each gets at most one.
 
     ``reserved`` maps each engine to the model that it was last emptied for. Failure guarded
     against: an engine that unloads is busy, so the next plan frees memory on another engine as
--- a/peridotdock/decisions/health.py
+++ b/peridotdock/decisions/health.py
@@ -106,8 +106,8 @@
 
         It decays to 1 while it is not measured again.
         """
-        faded = 0.5 ** ((now - self._slow_at) / SLOWNESS_HALF_LIFE)
-        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1.0 + (self._slowness - 1.0) * faded))
+        decay = 0.5 ** ((now - self._slow_at) / SLOWNESS_HALF_LIFE)
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, 1.0 + (self._slowness - 1.0) * decay))
 
 
 def is_overdue(waited: float, expected: float, loop_delay: float) -> bool:
--- a/peridotdock/decisions/pacing.py
+++ b/peridotdock/decisions/pacing.py
@@ -28,7 +28,7 @@
 MAX_URGENT_SHARE = 0.95
 # How the bound follows the pauses of streams while an engine is given nearly all that it may be.
 # Checked each second, it grows when the longest pause of several streams stays below a share of
-# what callers accept, and shrinks when one comes near that.
+# what callers accept, and is reset when one comes near that.
 CONTROL_INTERVAL_SECONDS = 1.0
 MIN_GAPS = 5
 MIN_SCHEDULED_SHARE = 0.8
--- a/peridotdock/decisions/permits.py
+++ b/peridotdock/decisions/permits.py
@@ -46,7 +46,7 @@
 
 
 def permit_interval(limit: float) -> float:
-    """Return the seconds between two permits at a limit in requests per second."""
+    """Return the seconds between two permits; 0 if ``limit`` (requests per second) is infinite."""
     return 1 / max(MIN_RATE, limit)
 
 
--- a/peridotdock/decisions/placing.py
+++ b/peridotdock/decisions/placing.py
@@ -95,7 +95,7 @@
         if found.waiting:
             load_for_waiting(draft, model)
         elif found.peak_rate > IDLE_DEMAND:
-            load_on_best_engine(draft, model, EvictionLevel.SURPLUS, "asked for")
+            load_on_best_engine(draft, model, EvictionLevel.SURPLUS, "requested")
     for model in sorted(ranked, key=lambda model: -current_demand(draft, model.name)):
         too_few = len(draft.holders(model.name)) < wanted_copies(draft, model.name)
         if too_few and (all_models_held(draft) or is_overloaded(draft, model.name)):
@@ -114,14 +114,14 @@
     ended. While idle copies can be evicted later, a copy in use is evicted only if more requests
     wait than run on it.
     """
-    if load_on_best_engine(draft, model, EvictionLevel.IDLE, "asked for"):
+    if load_on_best_engine(draft, model, EvictionLevel.IDLE, "requested"):
         return
     engines = draft.engines.values()
     soon = any(
         find_victims(draft, engine, model, EvictionLevel.IDLE) is not None for engine in engines
     )
     waiting = model_demand(draft, model.name).waiting
-    load_on_best_engine(draft, model, EvictionLevel.USED, "asked for", waiting if soon else None)
+    load_on_best_engine(draft, model, EvictionLevel.USED, "requested", waiting if soon else None)
 
 
 def load_on_best_engine(
