--- a/peridotdock/relay/aggregation.py
+++ b/peridotdock/relay/aggregation.py
@@ -1,4 +1,4 @@
-"""Adding up what hosts tell of themselves: work on endpoints, and what callers ask of them."""
+"""Encodes and sums the facts that hosts publish: load on endpoints, and callers' demand."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import TypeVar
@@ -9,15 +9,15 @@
 from peridotdock.membership import Membership
 from peridotdock.schema.messages import DemandFact, RunsFact, WantsFact, WorkFact
 
-# Least change of a demand that is told, as a share of what was told last.
+# Minimum change of a demand that is published, as a share of the last published value.
 DEMAND_STEP_SHARE = 0.25
 T = TypeVar("T", int, float)
-# Requests and prompt tokens that are not read yet, by endpoint.
+# Requests and prompt tokens not prefilled yet, by endpoint.
 Work = dict[str, tuple[int, int]]
 
 
 def live_facts(board: Board, membership: Membership, topic: str) -> Iterator[tuple[str, Known]]:
-    """Give what is known on a topic, by origin, of the hosts that are alive."""
+    """Yield the facts known on a topic, by origin, of the hosts that are alive."""
     members = membership.members()
     for origin, known in board.on(topic).items():
         if origin in members and members[origin].alive:
@@ -25,7 +25,7 @@
 
 
 def encode_work(rows: Mapping[str, tuple[int, int]]) -> WorkFact:
-    """Pack requests and unread prompt tokens by endpoint."""
+    """Pack requests and pending prompt tokens by endpoint."""
     return WorkFact(
         list(rows),
         pack("H", (running for running, _ in rows.values())),
@@ -34,13 +34,13 @@
 
 
 def decode_work(fact: WorkFact) -> Work:
-    """Unpack requests and unread prompt tokens by endpoint."""
+    """Unpack requests and pending prompt tokens by endpoint."""
     columns = zip(unpack("H", fact.running), unpack("I", fact.tokens), strict=True)
     return dict(zip(fact.endpoints, columns, strict=True))
 
 
 def encode_runs(rows: Mapping[tuple[str, str], int]) -> RunsFact:
-    """Pack the requests that run by endpoint and item."""
+    """Pack the running requests by endpoint and item."""
     endpoints = list(dict.fromkeys(endpoint for endpoint, _ in rows))
     items = list(dict.fromkeys(item for _, item in rows))
     at = {name: place for place, name in enumerate(endpoints)}
@@ -55,7 +55,7 @@
 
 
 def add_runs(total: dict[str, dict[str, int]], fact: RunsFact) -> None:
-    """Add one host's requests by endpoint and item to the total of all."""
+    """Add one host's running requests by endpoint and item to the total."""
     columns = (unpack("H", column) for column in (fact.at, fact.what, fact.running))
     for at, what, count in zip(*columns, strict=True):
         items = total.setdefault(fact.endpoints[at], {})
@@ -64,13 +64,13 @@
 
 
 def add_load(total: Work, name: str, row: tuple[int, int]) -> None:
-    """Add one host's work on an endpoint to the total."""
+    """Add one host's load on an endpoint to the total."""
     running, tokens = total.get(name, (0, 0))
     total[name] = running + row[0], tokens + row[1]
 
 
 def subtract_work(work: Work, own: Work) -> Work:
-    """Return the work of all hosts less one's own, where that is newer than the sum."""
+    """Return the work of all hosts less the own work, never below zero where the own is newer."""
     found = {}
     for name, (running, tokens) in work.items():
         less = own.get(name, (0, 0))
@@ -79,7 +79,7 @@
 
 
 def sum_demand(wants: Iterable[WantsFact], demands: Iterable[DemandFact]) -> dict[str, Demand]:
-    """Return what is asked of each item: requests that wait, engine seconds a second."""
+    """Return the demand for each item: waiting requests, and engine seconds a second."""
     waiting: dict[str, int] = {}
     rates: dict[str, float] = {}
     recent: dict[str, float] = {}
@@ -99,13 +99,13 @@
 
 
 def add_figures(total: dict[str, T], more: Mapping[str, T]) -> None:
-    """Add one host's figures to the total of all."""
+    """Add one host's figures to the total."""
     for item, figure in more.items():
         total[item] = total.get(item, 0) + figure
 
 
 def demand_changed(old: Mapping[str, float], new: Mapping[str, float]) -> bool:
-    """Tell whether a demand has changed enough to be told again."""
+    """Return whether a demand has changed enough to be published again."""
     for item in old.keys() | new.keys():
         before, after = old.get(item, 0.0), new.get(item, 0.0)
         if abs(after - before) > DEMAND_STEP_SHARE * max(before, after, 0.01):
--- a/peridotdock/relay/daemon.py
+++ b/peridotdock/relay/daemon.py
@@ -1,4 +1,4 @@
-"""The relaying daemon, from checked settings to its end."""
+"""Entry point of the relaying daemon: load the settings, then run a host until it is stopped."""
 
 import asyncio
 import gc
@@ -15,13 +15,13 @@
 from peridotdock.status import ExitStatus
 from peridotdock.turns import WatchedLoop
 
-# Links of a host to others. Eight join up to nine hosts directly; among more, each fact takes a
-# second or third hop, and few hosts hear it more often than they must.
+# Links of a host to others. Eight links join up to nine hosts directly; with more hosts, each fact
+# takes a second or third hop, and few hosts receive a fact more often than needed.
 PEER_DEGREE = 8
 
 
 def run(environ: Mapping[str, str], streams: Streams) -> ExitStatus:
-    """Check the settings, serve until told to stop, and return the exit status."""
+    """Load the settings from the environment, serve until stopped, and return the exit status."""
     found = load_settings(environ)
     if failed(found):
         streams.err.write(f"peridotdock: {found.reason}\n")
@@ -43,14 +43,14 @@
 
 
 async def serve(cfg: Settings, settings: HostSettings) -> None:
-    """Run a host until it is told to stop."""
+    """Run a host until it receives a stop signal."""
     await RelayHost(build_context(cfg), settings, PlatformAdapter()).run()
 
 
 def configure_gc() -> None:
-    """Look for unused objects from now on, but not among those that the imports made.
+    """Enable garbage collection without scanning the objects that the imports created.
 
-    They stay for the life of the process, and each full look would go through all of them.
+    These objects live as long as the process, and each full collection would traverse all of them.
     """
     gc.freeze()
     gc.enable()
--- a/peridotdock/relay/endpoint.py
+++ b/peridotdock/relay/endpoint.py
@@ -1,4 +1,4 @@
-"""One start of an endpoint as a host sees it: its entry, the work on it, how it has behaved."""
+"""State of one start of an endpoint on one host: its entry, the requests sent to it, its health."""
 
 import math
 from collections import OrderedDict
@@ -10,23 +10,23 @@
 from peridotdock.relay.asks import EndpointEntry, ModelWish
 from peridotdock.schema.messages import EngineNews
 
-# Seconds for which the word of the host that orders engines goes before an engine's own entry,
-# which comes with its next heartbeat.
+# Seconds for which an update of the lease holder overrides the engine's own entry, which follows
+# with the engine's next heartbeat.
 ENGINE_UPDATE_SECONDS = 5.0
-# Seconds after which what was heard of the other hosts' work on an endpoint no longer counts.
+# Seconds after which the load that other hosts put on an endpoint is ignored as out of date.
 REMOTE_LOAD_SECONDS = 3.0
-# Prompt parts remembered for each endpoint.
+# Maximum number of prompt parts remembered for each endpoint.
 MAX_CACHED_PARTS = 2000
-# Seconds for which an endpoint that refused a request, as it does not hold the model or adapter, is
-# taken at its word against what was heard of it before: until its next entry.
+# Seconds for which an endpoint's refusal of a request for a model or adapter that it does not hold
+# overrides earlier updates on it: until its next entry.
 MISSING_ITEM_SECONDS = 1.5
 
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """One request of this host on an endpoint; ``tokens`` of its prompt are still to be read.
+    """One request of this host to an endpoint; ``prompt_tokens`` are not prefilled yet.
 
-    ``item`` is the model or adapter that it uses, empty at a plain service.
+    ``item`` is the model or adapter that it uses, empty for a plain service.
     """
 
     sent_at: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteLoad:
-    """What all other hosts have on an endpoint: requests, and prompt tokens not read yet."""
+    """Load of all other hosts on an endpoint: requests, and prompt tokens not prefilled yet."""
 
     running: int
     tokens: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedUpdate:
-    """What the host that orders engines said of one, and when it said so."""
+    """The lease holder's update on an engine, and when it was received (monotonic seconds)."""
 
     update: EngineNews
     items: frozenset[str]
@@ -59,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingItem:
-    """An endpoint's word that it does not hold something, and when it said so.
+    """Time at which an endpoint reported that it does not hold an item.
 
-    ``confirmed`` is set once what is heard of the endpoint says the same: from then on that counts,
-    and tells when the thing is there.
+    ``confirmed`` is set once an entry or update shows the item as missing too. From then on,
+    entries and updates show when the item is loaded again.
     """
 
     reported_at: float
@@ -71,9 +71,9 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnouncedLimit:
-    """The requests a second that an endpoint takes from all hosts; infinite without a limit.
+    """The requests a second that an endpoint accepts from all hosts; infinite without a limit.
 
-    ``at`` is the time for which it holds (monotonic seconds).
+    ``as_of`` is the time to which it applies (monotonic seconds).
     """
 
     rate: float
@@ -87,11 +87,12 @@
 class EndpointState:
     """One start of an endpoint as seen from this host.
 
-    ``answered_sent`` is when the newest of the requests that it has answered was sent. Before
-    ``permit_from`` this host gets no permit for one that has named a limit; ``named_limit`` tells
-    that some host has heard it name one, be it ended or not. ``said_leaving`` tells that the
-    endpoint said in an answer that it leaves; until ``rests_until`` it wants nothing from this
-    host. Both hold until the end of this start, whatever its entry says.
+    ``answered_sent_at`` is when the newest of the requests that it has answered was sent. Before
+    ``next_permit_at`` this host gets no permit for an endpoint that has announced a limit;
+    ``limit_announced`` is set once any host has received a limit from it, even one that has ended.
+    ``announced_leaving`` is set when the endpoint announced in an answer that it drains. Until
+    ``backoff_until`` it accepts nothing from this host. Both remain set until the end of this
+    start, whatever its entry shows.
     """
 
     entry: EndpointEntry
@@ -111,12 +112,12 @@
     backoff_until: float = float("-inf")
 
     def accepts_requests(self) -> bool:
-        """Tell whether requests may still be sent there."""
+        """Return whether requests may still be sent to the endpoint."""
         return not self.gone and not self.leaving
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the endpoint leaves, by its entry or by its own word in an answer."""
+        """Return whether the endpoint drains, by its entry or by its announcement in an answer."""
         return self.entry.leaving or self.announced_leaving
 
     @property
@@ -126,14 +127,14 @@
 
     @property
     def start(self) -> EndpointStart:
-        """Return what tells this start from others under the same id."""
+        """Return the key that distinguishes this start from others under the same id."""
         return endpoint_start(self.entry)
 
     def holds(self, inference: ModelWish, now: float) -> bool:
-        """Tell whether the endpoint can serve a model, and the adapter where one is wished for.
+        """Return whether the endpoint can serve a model, and the adapter where one is requested.
 
-        Its own entry comes with a heartbeat; for some seconds after an order, the word of the host
-        that gave it is newer. A load that is done shows in the entry first.
+        An endpoint's own entry is published with a heartbeat; for some seconds after an order, the
+        update of the host that issued it is newer. A completed load shows in the entry first.
         """
         received = self.last_update
         item = item_name(inference)
@@ -153,11 +154,11 @@
         return held is not None and (not inference.adapter or inference.adapter in held.adapters)
 
     def record_missing(self, inference: ModelWish, now: float) -> None:
-        """Note the endpoint's word that it does not hold what is wished for.
+        """Record the endpoint's report that it does not hold the requested item.
 
-        Failure guarded against: a model was dropped a moment ago, or an adapter is on its way. What
-        was heard of the endpoint still names it, so a request was sent there three times within
-        four milliseconds, and its caller told to come back.
+        Failure guarded against: a model was unloaded a moment ago, or an adapter is still loading.
+        The last entry or update still lists it, so a request was sent there three times within four
+        milliseconds, and its caller was told to retry later.
         """
         kept = {
             name: row
@@ -167,7 +168,7 @@
         self.missing = kept | {item_name(inference): MissingItem(now)}
 
     def has_unconfirmed_missing(self, now: float) -> bool:
-        """Tell whether what is heard of the endpoint still names something that it lacks."""
+        """Return whether entries and updates still list an item that the endpoint lacks."""
         rows = self.missing.values()
         return any(
             not row.confirmed and now - row.reported_at <= MISSING_ITEM_SECONDS for row in rows
@@ -175,14 +176,14 @@
 
     @property
     def limited(self) -> bool:
-        """Tell whether the endpoint takes only so many requests a second now."""
+        """Return whether the endpoint accepts a limited number of requests a second now."""
         return self.limit.rate < math.inf
 
     def update_limit(self, rate: float | None, sent: float, now: float) -> bool:
-        """Take in the limit of an answer to a request that was sent at a time; tell of a change.
+        """Apply the limit in the answer to a request sent at ``sent``; return whether it changed.
 
-        Answers may overtake each other: one without a limit ends what was named only where its
-        request was sent after that.
+        Answers may arrive out of order: an answer without a limit ends an announced limit only if
+        its request was sent after the announcement.
         """
         ended = rate == math.inf
         if rate is None or (ended and sent <= self.limit.as_of):
@@ -192,25 +193,25 @@
         return changed
 
     def restore_announcements(self, before: "EndpointState") -> None:
-        """Take over what the same start said before its entry went."""
+        """Copy what the same start announced before its entry disappeared."""
         self.limit, self.limit_announced = before.limit, before.limit_announced
         self.next_permit_at = before.next_permit_at
         self.announced_leaving = before.announced_leaving
         self.backoff_until = before.backoff_until
 
     def set_limit(self, word: AnnouncedLimit) -> None:
-        """Take in a word on the limit that is the newest."""
+        """Store a limit that is newer than the known one."""
         self.limit = word
         self.limit_announced = self.limit_announced or self.limited
 
     def update_entry(self, entry: EndpointEntry) -> None:
-        """Take in the endpoint's own entry."""
+        """Apply the endpoint's own entry."""
         if entry is not self.entry:
             self.entry = entry
             self._confirm_missing(entry.items())
 
     def set_update(self, received: ReceivedUpdate | None) -> None:
-        """Take in what the host that orders engines said of this one."""
+        """Store the lease holder's update on this engine, None if it has sent none."""
         self.last_update = received
         if received is not None:
             self._confirm_missing(received.items)
@@ -221,7 +222,7 @@
                 self.missing[name] = MissingItem(row.reported_at, confirmed=True)
 
     def load(self, now: float) -> tuple[int, int]:
-        """Return requests and unread prompt tokens there, ours and those of other hosts."""
+        """Return the requests and unread prompt tokens there, over this and the other hosts."""
         running, tokens = len(self.in_flight), self.pending_tokens
         if now - self.remote_load.received_at <= REMOTE_LOAD_SECONDS:
             running += self.remote_load.running
@@ -229,7 +230,7 @@
         return running, tokens
 
     def cached_tokens(self, inference: ModelWish) -> int:
-        """Return how many leading tokens of a prompt are thought to be kept there."""
+        """Return how many leading prompt tokens are presumably in the endpoint's prefix cache."""
         kept = 0
         place = prompt_cache_key(inference)
         for part in inference.parts:
@@ -239,7 +240,7 @@
         return kept
 
     def add_cached_parts(self, inference: ModelWish) -> None:
-        """Take the parts of a prompt as kept there from now on."""
+        """Record the parts of a prompt as cached on the endpoint from now on."""
         place = prompt_cache_key(inference)
         for part in inference.parts:
             self.cached_parts[(place, part.id)] = None
@@ -249,11 +250,11 @@
 
 
 def new_start_state(known: EndpointState | None, entry: EndpointEntry) -> EndpointState:
-    """Return an endpoint that has just started, maybe under the id of one that is known.
+    """Return the state of an endpoint that has just started, possibly under an id that is known.
 
-    Failure guarded against: an endpoint is back under its id, empty and well. Requests went there
-    for prompt parts that it lost, or stayed away for the load and the failures of the start before.
-    News of the new start may have come before its entry.
+    Failure guarded against: an endpoint is back under its id, empty and healthy. Requests were sent
+    there for prompt parts that it had lost, or avoided it because of the load and the failures of
+    the previous start. An update on the new start may arrive before its entry.
     """
     state = EndpointState(entry, Health())
     if (
@@ -266,20 +267,20 @@
 
 
 def endpoint_start(entry: EndpointEntry) -> EndpointStart:
-    """Return what tells the start of an entry from others under the same id."""
+    """Return the key that distinguishes the start in an entry from others under the same id."""
     return EndpointStart(entry.incarnation, str(entry.born))
 
 
 def is_outdated(received: ReceivedUpdate, entry: EndpointEntry) -> bool:
-    """Tell whether news is of a start before the one that an entry shows."""
+    """Return whether an update belongs to an earlier start than the one in an entry."""
     return 0 < received.update.born < entry.born
 
 
 def item_name(inference: ModelWish) -> str:
-    """Return the name of the model, or of the adapter of one, that is wished for."""
+    """Return the name of the requested model, or MODEL/ADAPTER where an adapter is requested."""
     return f"{inference.model}/{inference.adapter}" if inference.adapter else inference.model
 
 
 def prompt_cache_key(inference: ModelWish) -> str:
-    """Return under what an engine keeps prompt parts: one model with one adapter."""
+    """Return the key under which an engine caches prompt parts: one model with one adapter."""
     return f"{inference.model}/{inference.adapter}"
--- a/peridotdock/relay/endpoint_notices.py
+++ b/peridotdock/relay/endpoint_notices.py
@@ -1,7 +1,7 @@
-"""What endpoints say of themselves in answers, and what hosts tell each other of it.
+"""Exchanges between hosts what endpoints announce in their answers: rate limits and draining.
 
-An endpoint says it to single hosts, and to each at another time. Hosts tell the hub, the hub tells
-all, and the newest word on a start of an endpoint counts.
+An endpoint announces it to single hosts, at different times. Hosts publish it to the hub, the hub
+publishes it to all, and the newest notice on a start of an endpoint counts.
 """
 
 import math
@@ -15,15 +15,15 @@
 from peridotdock.relay.peers import Peers
 from peridotdock.schema.messages import EndpointWord, WordsFact
 
-# What hosts have heard, and what the hub tells all of them.
+# Topics of the notices that hosts publish to the hub, and that the hub publishes to all hosts.
 RECEIVED_TOPIC = "heard_words"
 PUBLISHED_TOPIC = "words"
-# Seconds that a word on a limit is told to be old at most: where none was named, it is that old.
+# Maximum age in seconds that a notice states for a limit; an endpoint without a limit has this age.
 MAX_LIMIT_AGE_SECONDS = 3600.0
 
 
 class EndpointNotices:
-    """What is known on one host, which may be the hub, of what endpoints said."""
+    """The known notices of endpoints on one host, which may be the hub."""
 
     def __init__(self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet):
         self._ctx = ctx
@@ -35,7 +35,7 @@
     def note_answer(
         self, req: RelayAsk, state: EndpointState, head: AnswerHead, sent: float
     ) -> None:
-        """Take in what an answer says of its endpoint, and tell the hub of a change.
+        """Apply what an answer announces on its endpoint, and publish a change to the hub.
 
         ``sent`` is when the answer's request was sent (monotonic seconds).
         """
@@ -52,16 +52,16 @@
             self.publish()
         if head.rest and now + head.rest > state.backoff_until:
             state.backoff_until = now + head.rest
-            detail = f"wants nothing for {head.rest:.2f} s"
+            detail = f"backoff of {head.rest:.2f} s requested"
             self._ctx.timeline.add(
                 "endpoint_rests", request=req.id, endpoint=state.key, detail=detail
             )
 
     def publish(self) -> None:
-        """Tell what the hub has not said; as the hub, tell all hosts what is known.
+        """Publish what the hub has not published; on the hub, publish all notices to all hosts.
 
-        Endpoints whose entries came after a word on them are found here. A host that is not the hub
-        any more takes back what it told: a new link would give it out as new.
+        Notices on endpoints whose entries arrived later are applied in this call. A host that is no
+        longer the hub withdraws what it published: a new link would present it as new.
         """
         for topic in (RECEIVED_TOPIC, PUBLISHED_TOPIC):
             for known in self._peers.facts.on(topic).values():
@@ -93,14 +93,14 @@
         ]
 
     def _publish_rows(self, topic: str, rows: list[EndpointWord]) -> None:
-        """Publish rows that say something else than the last ones, whatever their ages."""
+        """Publish rows that differ from the last ones in more than their ages."""
         known = self._peers.facts.get(self._host, topic)
         before = known.fact.rows if known is not None else []
         if list(map(notice_key, before)) != list(map(notice_key, rows)):
             self._peers.facts.publish(topic, WordsFact(rows))
 
     def _changed(self, slots: list[Slot]) -> None:
-        """Take in another host's words at once, and as the hub tell all hosts of a change."""
+        """Apply another host's notices at once, and on the hub publish a change to all hosts."""
         changed_slots = [
             slot
             for slot in slots
@@ -112,7 +112,7 @@
             self.publish()
 
     def _merge(self, known: Known) -> bool:
-        """Take in words that are newer than what this host knows, and tell of a change."""
+        """Apply notices newer than what this host knows; return whether anything changed."""
         changed = False
         for row in known.fact.rows:
             state = self._fleet.states.get(row.endpoint)
@@ -129,10 +129,10 @@
 
 
 def has_notice(state: EndpointState) -> bool:
-    """Tell whether a start of an endpoint has said anything that other hosts should know."""
+    """Return whether a start of an endpoint has announced anything that other hosts should know."""
     return state.announced_leaving or state.limit_announced
 
 
 def notice_key(row: EndpointWord) -> tuple[str, int, float, bool]:
-    """Return what a row says but for its age."""
+    """Return the content of a row without its age."""
     return row.endpoint, row.born, row.rate, row.leaving
--- a/peridotdock/relay/entries.py
+++ b/peridotdock/relay/entries.py
@@ -1,4 +1,4 @@
-"""Endpoints' entries as the store gives them: which name an endpoint, and what is new of each."""
+"""Reads endpoints' entries from the store's rows and logs new, changed and removed endpoints."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,10 +11,10 @@
 
 
 class EntryReader:
-    """Reads entries and logs what is new of them.
+    """Decodes entries, applies them to the fleet, and logs changes.
 
-    ``other_start`` is called with an address at which another start of an endpoint, or another
-    endpoint, has taken its place.
+    ``on_address_reused`` is called with an address at which another start of an endpoint, or
+    another endpoint, has replaced the previous one.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._start_by_address: dict[str, tuple[str, int]] = {}
 
     def apply_rows(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
-        """Take rows into the fleet: all there are when ``whole``, else those that changed."""
+        """Apply rows to the fleet: the whole table when ``whole`` is set, else the changed rows."""
         if whole:
             self._refused &= rows.keys()
         entries = {key: self._read(key, raw) for key, raw in rows.items()}
@@ -42,11 +42,11 @@
             self._fleet.update(entries)
 
     def _read(self, key: str, raw: bytes | None) -> EndpointEntry | None:
-        """Return the entry in a row, None where the row is gone or names no endpoint.
+        """Return the entry in a row, None where the row is gone or holds no valid entry.
 
-        Failure guarded against: another writer spoils the entry of a known endpoint, and requests
-        go on to where the entry before pointed. A bad row is logged once until it is good again,
-        however often it is read.
+        Failure guarded against: another writer corrupts the entry of a known endpoint, and requests
+        are still sent to the address in the previous entry. An invalid row is logged once until it
+        is valid again, however often it is read.
         """
         found = None if raw is None else self._decode(key, raw)
         if found is not None and failed(found):
@@ -74,10 +74,10 @@
             self._ctx.timeline.add(f"endpoint_{state_name}", endpoint=key, detail=detail)
 
     def _check_start(self, entry: EndpointEntry) -> None:
-        """Tell when an address has another start than before.
+        """Report an address that belongs to another start than before.
 
-        Failure guarded against: an endpoint crashes behind a cut, so that nobody closes its
-        connections, and starts again. The next request over a kept one gets no answer.
+        Failure guarded against: an endpoint crashes during a network partition, so its connections
+        are not closed, and starts again. The next request over a kept connection gets no answer.
         """
         start = entry.incarnation, entry.born
         if self._start_by_address.setdefault(entry.address, start) != start:
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -1,4 +1,4 @@
-"""All endpoints as one host knows them, and what it has learnt of services and models."""
+"""All endpoints known to one host, and its measurements of services and models."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -24,28 +24,30 @@
 from peridotdock.rendezvous import weigh
 from peridotdock.schema.messages import EngineNews
 
-# Seconds to read one prompt token before any was measured; corrected by each first token.
+# Seconds to prefill one prompt token before any measurement; corrected by each first token.
 INITIAL_PROMPT_TOKEN_SECONDS = 0.00003
-# Seconds a prompt token takes at least: a short prompt on a quick engine is read within the step.
+# Minimum seconds for a prompt token: a fast engine prefills a short prompt within one step.
 MIN_PROMPT_TOKEN_SECONDS = 0.000001
-# Seconds that a plain service takes before any answer was measured.
+# Seconds that a plain service takes to answer before any measurement.
 INITIAL_ANSWER_SECONDS = 0.05
 # Weight of a new measurement in a moving average: about the last ten count.
 AVERAGE_GAIN = 0.1
-# The same for the time of a prompt token, when one is found slower or faster than usual.
+# Weights of a new time for one prompt token or the gap between events, when slower or faster than
+# the average.
 SLOWER_GAIN = 0.02
 FASTER_GAIN = 0.2
-# Fewest tokens from which a time for one token is learnt: below, the step dominates.
+# Minimum number of tokens for measuring the time of one token: below it, the engine's step
+# dominates.
 MIN_MEASURED_TOKENS = 400
-# Seconds for which an endpoint that broke answers off is taken for ended while its entry is there
-# and nobody has tried to connect: longer than an entry takes to lapse.
+# Seconds for which an endpoint that broke off answers is assumed to have ended while its entry
+# remains and no connection has been attempted: longer than an entry takes to lapse.
 ASSUMED_ENDED_SECONDS = 10.0
-# Starts of endpoints that are remembered although their entries have gone.
+# Maximum number of starts of endpoints remembered after their entries have gone.
 MAX_DEPARTED = 200
 
 
 class RelayFleet:
-    """All endpoints in touch, by id, and what is known of services and models."""
+    """All known endpoints by id, with the measurements of services and models."""
 
     def __init__(self, domain: str, clock: Clock):
         self._domain = domain
@@ -59,7 +61,7 @@
         self._change: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def replace(self, entries: Iterable[EndpointEntry]) -> None:
-        """Take the whole list of endpoints; those that are missing are gone."""
+        """Replace the list of endpoints; endpoints missing from it are gone."""
         old = self.states
         self.states = {}
         for entry in entries:
@@ -77,10 +79,10 @@
         self._index()
 
     def _add_departed(self, state: EndpointState) -> None:
-        """Keep what a start said whose entry has gone, for when the entry comes back.
+        """Keep the state of a start whose entry has gone, in case the entry reappears.
 
-        Failure guarded against: entries lapse while the store is away, the endpoints live on, and
-        what they had said in answers is forgotten.
+        Failure guarded against: entries lapse while the store is unavailable, the endpoints keep
+        running, and what they announced in answers is lost.
         """
         state.gone = True
         self._departed[state.start] = state
@@ -88,7 +90,7 @@
             del self._departed[next(iter(self._departed))]
 
     def update(self, changed: Mapping[str, EndpointEntry | None]) -> None:
-        """Take in changed entries; None stands for one that is gone."""
+        """Apply changed entries; None marks an entry that is gone."""
         entries = {key: state.entry for key, state in self.states.items()}
         for key, entry in changed.items():
             if entry is None:
@@ -108,7 +110,7 @@
         change.set_result(None)
 
     def usable(self, service: str, inference: ModelWish | None) -> list[EndpointState]:
-        """Return the endpoints of a service that take new work and hold what is wished for."""
+        """Return the endpoints of a service that accept requests and hold the requested item."""
         now = self._clock.monotonic()
         rows = self.by_service.get(service, ())
         found = [s for s in rows if not s.leaving and not s.health.closed(now)]
@@ -129,15 +131,15 @@
         return max(0.0, min(found)) if found else None
 
     def load_seconds(self, service: str, model: Model) -> float:
-        """Return how long the quickest endpoint of a service takes to load a model."""
+        """Return how long the fastest endpoint of a service takes to load a model."""
         states = self.by_service.get(service, ())
         times = [load_seconds(state.entry, model) for state in states if not state.leaving]
         return min(times, default=model.load)
 
     def apply_updates(self, rows: Iterable[EngineNews], at: float) -> None:
-        """Take in what the host that orders engines said at a time (monotonic seconds).
+        """Apply the lease holder's updates on engines, received at a time (monotonic seconds).
 
-        Engines that it leaves out have no news.
+        Engines without a row have no update.
         """
         updates = {row.endpoint: ReceivedUpdate(row, frozenset(row.items), at) for row in rows}
         for key, state in self.states.items():
@@ -147,15 +149,15 @@
         self._notify_change()
 
     def set_remote_loads(self, loads: Mapping[str, RemoteLoad]) -> None:
-        """Take in what all other hosts have on the endpoints; those left out have nothing."""
+        """Set the load of all other hosts on the endpoints; endpoints left out have none."""
         for key, state in self.states.items():
             state.remote_load = loads.get(key, NO_LOAD)
 
     def has_ended(self, start: EndpointStart, broken_at: float) -> bool:
-        """Tell whether a start of an endpoint has ended that broke answers off at a time.
+        """Return whether a start of an endpoint that broke off answers at a time has ended.
 
-        Failure guarded against: something between a host and three endpoints resets connections,
-        and the requests that were lost there are taken for what ended them.
+        Failure guarded against: a network device between a host and three endpoints resets
+        connections, and the requests lost there are mistaken for the cause of the endpoints' end.
         """
         state = self.states.get(start.endpoint)
         if state is None or state.start != start:
@@ -166,11 +168,11 @@
         return unreachable or self._clock.monotonic() - broken_at <= ASSUMED_ENDED_SECONDS
 
     async def next_change(self) -> None:
-        """Wait until the endpoints or what they hold have changed."""
+        """Wait until the endpoints or the items they hold have changed."""
         await asyncio.shield(self._change)
 
     def estimate_work(self, service: str, inference: ModelWish | None) -> Work:
-        """Return what a request asks of an endpoint, by what was measured so far."""
+        """Return the work that a request causes on an endpoint, from the measurements so far."""
         seconds = self._answer_seconds.get(service, INITIAL_ANSWER_SECONDS)
         if inference is None:
             return Work(0, 0, 0.0, seconds)
@@ -179,11 +181,11 @@
         return Work(max(1, inference.prompt_tokens), shared, per_token, seconds)
 
     def event_seconds(self, service: str) -> float | None:
-        """Return the time between two events of a stream while nothing is read, None if unknown."""
+        """Return the seconds between two events of a stream without prefill, None if unknown."""
         return self._event_seconds.get(service)
 
     def record_event_gap(self, service: str, seconds: float) -> None:
-        """Learn from the time between two events; only reading makes it longer."""
+        """Learn from the time between two events; only prefill of other prompts makes it longer."""
         usual = self._event_seconds.setdefault(service, seconds)
         gain = SLOWER_GAIN if seconds > usual else FASTER_GAIN
         self._event_seconds[service] = usual + gain * (min(seconds, 2 * usual) - usual)
@@ -191,10 +193,7 @@
     def candidates(
         self, states: Iterable[EndpointState], inference: ModelWish | None, avoid: frozenset[str]
     ) -> list[Candidate]:
-        """Return the endpoints as they look for one request of this host.
-
-        Those to ``avoid`` are left out.
-        """
+        """Return the endpoints not in ``avoid`` as candidates for one request of this host."""
         now = self._clock.monotonic()
         allowed = [state for state in states if state.key not in avoid]
         preferred_key = find_preferred(allowed, inference)
@@ -216,11 +215,11 @@
         avoid: frozenset[str],
         domain: str,
     ) -> list[Candidate]:
-        """Return the endpoints as they look to the host that knows where all prompts were sent.
+        """Return the endpoints as candidates on the hub, which knows where all prompts were sent.
 
-        Nothing is taken for kept by its hash; those that kept most are preferred. ``domain`` is the
-        failure domain of the host that will send the prompt, which knows itself what wants a rest
-        from it.
+        No prompt part is assumed to be cached because of its hash; endpoints with the most cached
+        tokens are preferred. ``domain`` is the failure domain of the host that will send the
+        prompt; that host applies the backoff requested from it by itself.
         """
         now = self._clock.monotonic()
         rows = [
@@ -265,9 +264,10 @@
         tokens: int,
         alone: bool | None = None,
     ) -> None:
-        """Count a request on an endpoint, with ``tokens`` to read, from when it is sent.
+        """Count a request on an endpoint, with ``tokens`` to prefill, from when it is sent.
 
-        ``alone`` tells whether nothing else is read there, None where only the hosts' sums tell.
+        ``alone`` tells whether no other prompt is prefilled there; None derives it from the hosts'
+        sums.
         """
         now = self._clock.monotonic()
         if alone is None:
@@ -281,7 +281,7 @@
     def first_token_received(
         self, state: EndpointState, request_id: str, inference: ModelWish | None
     ) -> None:
-        """Note the first token of a request and learn from how long it took."""
+        """Record the first token of a request and learn from its delay."""
         request = state.in_flight.get(request_id)
         if request is None or not request.awaits_first_token:
             return
@@ -298,7 +298,7 @@
             found = max(MIN_PROMPT_TOKEN_SECONDS, reading / request.prompt_tokens)
             usual = self._prompt_token_seconds.setdefault(inference.model, found)
             state.health.measured(found / usual, now)
-            # Other requests make a first token later and never sooner, so the lower times count.
+            # Other requests only delay a first token, so lower times weigh more.
             gain = SLOWER_GAIN if found > usual else FASTER_GAIN
             self._prompt_token_seconds[inference.model] = usual + gain * (
                 min(found, 2 * usual) - usual
@@ -307,7 +307,7 @@
     def request_ended(
         self, state: EndpointState, request_id: str, service: str, complete: bool
     ) -> None:
-        """Note that a request left an endpoint; whole answers teach how long one takes."""
+        """Record that a request ended; complete answers show how long one takes."""
         request = state.in_flight.pop(request_id, None)
         if request is None:
             return
@@ -321,7 +321,7 @@
 
 
 def load_seconds(entry: EndpointEntry, model: Model) -> float:
-    """Return how long an endpoint takes to load a model, by what it has at hand."""
+    """Return how long an endpoint takes to load a model, depending on its cached weights."""
     if model.name in entry.in_memory:
         return model.from_memory
     return model.from_disk if model.name in entry.on_disk else model.load
@@ -333,9 +333,9 @@
 
 
 def find_preferred(states: list[EndpointState], inference: ModelWish | None) -> str:
-    """Return the endpoint that all hosts prefer for a prompt's shared part, or nothing.
+    """Return the id of the endpoint that all hosts prefer for a prompt's shared part, or "".
 
-    Hosts don't tell each other which prompts they sent where; the same hash on all of them brings
+    Hosts do not exchange which prompts they sent where; the same hash on all of them routes
     requests that share a part to the same endpoint.
     """
     if inference is None or len(inference.parts) < 2 or not states:
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -1,7 +1,8 @@
-"""Following the store: a table kept as new as the store or the host that reads for all gives it.
+"""Keeps tables of the store up to date on a host, by own calls or by frames of the reader host.
 
-A view knows how old it is: when it was last known to be as the store's. A host acts on that by
-itself. It does not wait for a call that may never be answered, nor to be told that one was lost.
+A view knows its age: the time since it was last known to match the store. A host acts on that age
+by itself; it waits neither for a call that may never be answered nor for a notice that one was
+lost.
 """
 
 import asyncio
@@ -22,10 +23,10 @@
 from peridotdock.schema.messages import Rows
 
 NEVER = float("-inf")
-# Seconds between two calls on a table that has not changed. The store holds a call for longer; this
-# keeps a host from asking without end where it does not.
+# Minimum seconds between two calls on an unchanged table. The store holds a call for longer; the
+# pause prevents a busy loop where it does not.
 MIN_PAUSE_SECONDS = 0.05
-# Looks at the age of a view in the time for which the reader may be silent.
+# Checks of a view's age during the time for which the reader may be silent.
 AGE_CHECKS = 4
 ApplyRows = Callable[[Mapping[str, bytes | None], bool], None]
 
@@ -34,17 +35,17 @@
     """Passes on to other hosts what this one has read."""
 
     def __call__(self, found: TableChanges | TableView, after: int) -> None:
-        """Tell what changed after a version, or the whole table."""
+        """Publish what changed after a version, or the whole table."""
 
 
 class Follower:
-    """Keeps one table of the store in view.
+    """Keeps a local view of one table of the store.
 
-    ``take`` gets the rows, and whether they are the whole table. ``pause`` gives the seconds
-    between a change and the next call. ``reads`` tells whether this host reads the store whatever
-    others say; ``tell`` is then given what it read. ``rows`` are those of the table as known.
-    ``ask_hosts`` asks other hosts for what is newer than a version; ``on_lost`` is called at the
-    first of some calls in a row that are lost.
+    ``apply_rows`` gets the rows, and whether they are the whole table. ``pause`` returns the
+    seconds between a change and the next call. ``must_read`` tells whether this host reads the
+    store regardless of other hosts' frames; ``publish`` then gets what it read. ``rows`` are the
+    known rows of the table. ``request_rows`` requests rows newer than a version from other hosts;
+    ``on_call_lost`` is called at the first of several failed calls in a row.
     """
 
     def __init__(
@@ -84,18 +85,18 @@
         return self._version
 
     def age(self) -> float:
-        """Return the seconds since this view was last known to be as the store's."""
+        """Return the seconds since this view was last known to match the store."""
         return self._ctx.clock.monotonic() - self._as_of
 
     def last_call_failed(self) -> bool:
-        """Tell whether the last call on the table was lost."""
+        """Return whether the last call on the table failed."""
         return self._failed_calls > 0
 
     async def run(self) -> None:
-        """Follow for as long as the process lives.
+        """Follow the table for as long as the process lives.
 
-        Failure guarded against: a row of another writer is of a shape that nobody thought of, and
-        taking it in raises. The task would end, and this host would go by its last view for good.
+        Failure guarded against: a row of another writer has an unexpected shape, and applying it
+        raises. The task would end, and this host would use its last view for good.
         """
         while True:
             try:
@@ -105,7 +106,7 @@
                 await self._sleep(MOST_AGAIN_SECONDS)
 
     async def step(self) -> None:
-        """Read the table whole, or wait for its next change; rest while another host reads it."""
+        """Read the table whole, or wait for its next change; pause while another host reads it."""
         after = self._version
         if after is not None and self._fed_by_reader():
             await self._sleep(self.limits.silence / AGE_CHECKS)
@@ -120,7 +121,8 @@
             await self._handle_failure(found, began)
             return
         if self._version is not None and found.version < self._version:
-            # Another host's newer rows came meanwhile; older ones must not take their place.
+            # Newer rows arrived from another host during the call; older ones must not replace
+            # them.
             return
         whole = isinstance(found, TableView)
         changed = whole or bool(found.values)
@@ -140,14 +142,14 @@
         self._apply_rows(values, whole)
 
     def _fed_by_reader(self) -> bool:
-        """Tell whether another host keeps this view new."""
+        """Return whether another host keeps this view up to date."""
         if self.must_read() or self._behind_reader():
             return False
         heard = self._ctx.clock.monotonic() - self._last_frame_at < self.limits.silence
         return heard and self.age() < self.limits.age
 
     def _behind_reader(self) -> bool:
-        """Tell whether another host has named a version that this one does not have."""
+        """Return whether another host has named a version that this one does not have."""
         return self._version is not None and self._wanted_version > self._version
 
     async def _call_store(self, after: int | None) -> TableView | TableChanges | Failure:
@@ -157,7 +159,7 @@
         return await self._tables.follow(self.table, after, limits.hold, limits.answer)
 
     async def _interruptible(self, work):
-        """Wait for some work; None when :meth:`renew` ended it."""
+        """Wait for some work; return None when :meth:`refresh` cancelled it."""
         self._interruptible_work = asyncio.ensure_future(work)
         try:
             await asyncio.wait({self._interruptible_work})
@@ -171,22 +173,23 @@
         await self._interruptible(self._ctx.clock.sleep(seconds))
 
     def refresh(self) -> None:
-        """Ask again at once; over a new connection where a call is out.
+        """Call the store again at once; over a new connection if a call is in flight.
 
-        Failure guarded against: the store falls silent and comes back, and never answers the calls
-        that it held, nor any on their connections. The view then stays as old as the outage:
-        requests go to endpoints that have left, by a configuration that is not in force any more.
+        Failure guarded against: the store stops answering and recovers, and never answers the calls
+        that it held, nor any on their connections. The view then remains as old as the outage:
+        requests are sent to endpoints that have left, by a configuration that is no longer in
+        force.
         """
         if self._call_in_flight:
             self._tables.suspect()
         self._interrupt()
 
-    # What the host that reads for all says
+    # Frames of the reader
 
     def receive(self, frame: Rows) -> bool:
-        """Take in what another host read; true for a frame that was not heard before.
+        """Apply a frame of another host; return whether the frame is new to this host.
 
-        One host reads for all, since each call of the store has its price.
+        One host reads the store for all hosts, since each call of the store has a cost.
         """
         if not frame.direct:
             if frame.beat <= self._last_beats.get(frame.origin, -1):
@@ -219,17 +222,17 @@
             self._interruptible_work.cancel()
 
     def _fetch_missing(self, version: int) -> None:
-        """Ask the store for changes that the reader has and did not give.
+        """Read changes from the store that the reader has but did not include in its frame.
 
-        Its next words name the same version: they must not pass for proof that nothing is missing,
-        nor break off the call that is out for it.
+        Its next frames name the same version: they must neither count as proof that nothing is
+        missing nor cancel the call in flight for it.
         """
         self._last_frame_at = NEVER
         if version > self._wanted_version:
             self._wanted_version = version
             self.refresh()
 
-    # Losing and regaining touch
+    # Lost and restored contact with the store
 
     def _log_refused_rows(self, exc: Exception) -> None:
         detail = f"{self.table}: {type(exc).__name__}: {exc}"
@@ -247,16 +250,21 @@
             self.connected = False
             self._ctx.timeline.add("store_lost", "WARNING", detail=f"{self.table}: {found.reason}")
         if self._behind_reader():
-            # Failure guarded against: the store turns this host away while it serves others, and
-            # this one alone never gets what they have. The hosts it is linked to give it.
+            # Failure guarded against: the store refuses this host's calls while it serves others,
+            # and this host alone never gets the change. It requests the rows from the hosts that it
+            # is linked to.
             self.request_rows(self._version)
-        # With jitter, so that hosts that waited out an outage together don't come back in step.
+        # Jitter keeps hosts that waited out the same outage from calling the store at the same
+        # time.
         lost = self._ctx.clock.monotonic() - began >= self.limits.hold
         await self._sleep(wait_after(self._failed_calls, lost) * (0.5 + self._ctx.rng.random()))
 
     def _record_answer(self, began: float, changed: bool) -> None:
-        """Note how new the view is: an answer without changes may have been on its way since the
-        end of its hold. One with changes is followed by another call."""
+        """Set the view's age and log restored contact with the store.
+
+        An answer without changes may date from the end of its hold. One with changes is current,
+        and another call follows it.
+        """
         self._failed_calls = 0
         now = self._ctx.clock.monotonic()
         self._as_of = now if changed else min(now, began + self.limits.hold)
@@ -265,9 +273,10 @@
             self._ctx.timeline.add("store_in_touch", detail=self.table)
 
     def record_age(self, bound: float) -> None:
-        """Log when the view is older than changes may take to be seen, and when it is new again.
+        """Export the view's age; log when it passes the bound for seeing changes, and when it
+        recovers.
 
-        A request sent by an old view leaves no other trace of why it went where it did.
+        Nothing else shows why a request that was sent by an outdated view went to its endpoint.
         """
         if self._as_of == NEVER:
             return
--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -1,4 +1,4 @@
-"""A relaying host: its parts, and the work it repeats, from start to planned stop."""
+"""A relaying host: builds its components and runs its periodic work, from start to planned stop."""
 
 import asyncio
 import logging
@@ -38,45 +38,45 @@
 from peridotdock.serving import Server, make_application
 from peridotdock.turns import find_turns
 
-# Seconds between a change of the configuration and the next call on it: changes that come in quick
-# succession are seen one by one.
+# Seconds between a change of the configuration and the next call on it: changes in quick succession
+# are seen one by one.
 CONFIG_PAUSE_SECONDS = 0.05
-# How many times as long as they should some callers keep an answer where to connect.
+# Factor by which some callers cache an address answer longer than they should.
 ADDRESS_CACHE_FACTOR = 3.0
 # Seconds before the platform's SIGKILL at which a planned stop ends.
 STOP_MARGIN_SECONDS = 0.7
 DRAIN_POLL_SECONDS = 0.05
-# Seconds between two looks at which hosts are there, and to whom this one should be linked.
+# Seconds between two updates of the members and of the links.
 MEMBERSHIP_REFRESH_SECONDS = 1.0
-# Seconds between two words to the hub on work at endpoints, and on demand, and how many hosts'
-# words it takes in a second: with more hosts they come seldomer, and what it spends on them stays
-# the same.
+# Seconds between two facts to the hub on load at endpoints, on running requests and on demand, and
+# how many hosts' facts it processes a second: with more hosts the interval grows, and the hub's
+# cost stays the same.
 WORK_INTERVAL_SECONDS = 0.15
 RUNS_INTERVAL_SECONDS = 0.3
 DEMAND_INTERVAL_SECONDS = 0.3
 HUB_FACTS_PER_SECOND = 400.0
-# How many times less often than work the facts for placement alone are told where hosts are many.
+# Factor by which facts for placement alone are published less often than load when hosts are many.
 PLACEMENT_INTERVAL_FACTOR = 4.0
-# Seconds between two steps for the lease: of its holder; of those that stand by, while they hear
-# the holder and when they don't; of all others.
+# Seconds between two steps for the lease: of its holder; of standby hosts, while they are in
+# contact with the holder and while they are not; of all others.
 HOLDER_STEP_SECONDS = 0.7
 STANDBY_STEP_SECONDS = 3.0
 URGENT_STEP_SECONDS = 0.35
 OTHER_HOSTS_STEP_SECONDS = 8.0
 STANDBY_HOSTS = 2
-# Hosts from which on the hub does not stand by: a plan for many engines holds up its answers.
+# Number of hosts from which the hub is no standby: a plan for many engines delays its answers.
 HUB_NOT_STANDBY_HOSTS = 16
-# Least seconds until a look at a lease that is about to lapse.
+# Minimum seconds until the check of a lease that is about to lapse.
 MIN_LEASE_WAIT_SECONDS = 0.05
-# Seconds after a start for which a host without a configuration leaves the lease alone. After them
-# some host takes it: until then each reads the store for itself.
+# Seconds after a start during which a host without a configuration does not take the lease. After
+# them some host takes it: until then each reads the store for itself.
 DISCOVERY_SECONDS = 1.0
-# Seconds between two plans when nothing calls for one.
+# Seconds between two plans when nothing triggers one.
 PLAN_INTERVAL_SECONDS = 0.5
-# Plans in a row that may fail before another host is to try: two and a half seconds of them.
+# Failed plans in a row before another host is to try: two and a half seconds of them.
 MAX_FAILED_PLANS = 5
-# How many times as long as a plan took the next one is put off: waiting requests and engines'
-# answers call for a plan at each turn of the loop, and callers' requests would be read late.
+# Pause after a plan, as a multiple of its duration: waiting requests and engines' answers trigger a
+# plan at each iteration of the loop, and callers' requests would be read late.
 PLAN_PAUSE_FACTOR = 3.0
 
 log = logging.getLogger("peridotdock")
@@ -187,7 +187,7 @@
         for follower in self._follow_tables():
             self._tasks.append(asyncio.create_task(follower.run()))
         every = self.jobs.every
-        every(lambda: MEMBERSHIP_REFRESH_SECONDS, self._refresh_membership, "look round")
+        every(lambda: MEMBERSHIP_REFRESH_SECONDS, self._refresh_membership, "membership")
         every(lambda: self._publish_interval(WORK_INTERVAL_SECONDS), self._publish_work, "work")
         every(
             lambda: self._publish_interval(RUNS_INTERVAL_SECONDS, PLACEMENT_INTERVAL_FACTOR),
@@ -217,18 +217,18 @@
             self.views.follow(adapter.endpoint_table, self._apply_endpoints, bounds.leaving),
         ]
 
-    # Work that is repeated
+    # Periodic work
 
     async def _refresh_membership(self) -> None:
         self.peers.membership.sweep()
         self.peers.link()
-        # All that are known, also those out of reach: what each may repeat must not add up to more
-        # than the whole while hosts don't hear each other.
+        # All known hosts, including unreachable ones: the retries of all hosts together must not
+        # exceed the limit while hosts can't reach each other.
         self.service.hosts = len(self.peers.membership.members())
         self.views.record_ages()
 
     def _publish_interval(self, min_seconds: float, factor: float = 1.0) -> float:
-        """Return the time until the next word to the hub, which takes in so many a second."""
+        """Return the seconds until the next fact to the hub, which processes a limited rate."""
         return max(min_seconds, factor * len(self.peers.facts.on("host")) / HUB_FACTS_PER_SECOND)
 
     async def _publish_work(self) -> None:
@@ -253,7 +253,7 @@
             self.lease_due.set()
 
     def _on_term(self, term: int) -> None:
-        """Ask the store anew when a host has just taken the lease in it: it was away, maybe."""
+        """Refresh the views when a host has just taken the lease: the store may have been down."""
         if term > self._last_term > 0:
             self.views.refresh()
         self._last_term = max(term, self._last_term)
@@ -276,17 +276,17 @@
         return max(MIN_LEASE_WAIT_SECONDS, lapses_in) if lapses_in > 0 else URGENT_STEP_SECONDS
 
     def _should_check_lease(self) -> bool:
-        """Tell whether to look at another's lease: not while the holder's own word is new."""
+        """Return whether to check another host's lease: not while its holder's notice is new."""
         if not self.peers.has_lease_holder():
             return True
         lapses_in = self.leadership.lapses_in()
         return self._is_standby() and (lapses_in is None or lapses_in <= 0)
 
     def _discovery_done(self) -> bool:
-        """Tell whether this host has had the time to link to others, or has no time to lose.
+        """Return whether this host has had the time to link to others, or must not wait for it.
 
-        Hosts that start together each think at first that they are alone, and all of them would
-        try for the lease. Where a configuration is in force, callers wait for orders already.
+        Hosts that start together know no other host at first, and all of them would try to take the
+        lease. Where a configuration is in force, callers already wait for orders.
         """
         started_for = self.ctx.clock.monotonic() - self._started_at
         return self.front.deployment is not None or started_for >= DISCOVERY_SECONDS
@@ -303,7 +303,7 @@
             self.peers.connect_unless_known(self.leadership.holder_address)
 
     async def _order(self) -> None:
-        """Plan when something is waited for or has changed, and now and then."""
+        """Plan when requests wait or something has changed, and periodically."""
         events = (self.peers.wants_changed, self.orderer.changed)
         while True:
             for event in events:
@@ -321,10 +321,10 @@
                 wait.cancel()
 
     async def _try_plan(self, deployment: Deployment) -> None:
-        """Plan; free the lease after some plans in a row that failed.
+        """Plan; release the lease after several failed plans in a row.
 
-        Failure guarded against: a plan raises, the task that orders ends, and the lease is renewed
-        on. No model is loaded any more, and no other host takes over.
+        Failure guarded against: a plan raises, the task that orders engines ends, and the lease is
+        still renewed. No model is loaded any more, and no other host takes over.
         """
         try:
             self._plan(deployment)
@@ -343,11 +343,11 @@
         self.peers.publish_orders(self.leadership.term, updates, loads)
 
     def _ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether callers may be sent to this host."""
         known = self.front.deployment is not None
         return known and not self.leaving and self.lag.trouble is None
 
-    # What the store tells
+    # Changes of the store's tables
 
     def _apply_config(self, rows: Mapping[str, bytes | None], whole: bool) -> None:
         raw = rows.get(self.adapter.config_key)
@@ -360,7 +360,7 @@
         self._set_deployment(found)
 
     def _publish_state(self) -> None:
-        """Tell other hosts whether callers may be sent here: what readiness says, in short."""
+        """Publish to other hosts whether callers may be sent to this host, as readiness does."""
         if self.leaving or self.front.deployment is None:
             return
         self.peers.membership.become("live" if self._ready() else "starting")
@@ -385,13 +385,13 @@
         self.orderer.changed.set()
 
     def _drop_connections(self, address: str) -> None:
-        """Take no kept connection to an endpoint's address again."""
+        """Do not reuse kept connections to an endpoint's address."""
         self.endpoints.suspect(f"http://{address}")
 
     # Stopping
 
     async def run(self) -> None:
-        """Serve until told to stop, then leave without cutting anything off."""
+        """Serve until a stop signal, then drain without cutting off requests."""
         stop_requested = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -402,11 +402,13 @@
         await self.drain()
 
     def _note_reload(self) -> None:
-        """Log that the settings changed: addresses and bounds are those of the process's start."""
-        self.ctx.timeline.add("reload", detail="settings are read at start; nothing changes")
+        """Log a reload signal; addresses and bounds are only read at the start of the process."""
+        self.ctx.timeline.add(
+            "reload", detail="settings are only read at start; nothing was reloaded"
+        )
 
     async def stop(self) -> None:
-        """End all work and close everything, without waiting for anybody."""
+        """Cancel all work and close everything, without waiting for requests."""
         await self.jobs.stop()
         for task in self._tasks:
             task.cancel()
@@ -418,7 +420,7 @@
         await self.store.close()
 
     async def drain(self) -> None:
-        """Leave: out of the answers first, then all requests ended, then closed."""
+        """Drain: leave the address answers first, then wait for all requests to end, then close."""
         clock, bounds = self.ctx.clock, self.settings.bounds
         began = clock.monotonic()
         self.leaving = True
--- a/peridotdock/relay/leadership.py
+++ b/peridotdock/relay/leadership.py
@@ -1,10 +1,10 @@
-"""Which one host orders engines: a lease in the store, with a number that only grows.
+"""Elects the one host that orders engines: a lease in the store, with a term that only increases.
 
-One lease for all engines costs one write a second over all hosts. A host that stands by judges the
-lease by its own clock, from when it first saw the row's version, or by the store's. A host that
-holds it counts from before it sent the renewal, so the hosts' own clocks are not compared. A holder
-that loses touch with the store says so to the other hosts: they need not wait for what has ended
-already.
+One lease for all engines costs one write a second over all hosts. A standby host measures the lease
+by its own clock, from when it first saw the row's version, or by the store's clock. The holder
+counts from before it sent the renewal, so the hosts' own clocks are not compared. A holder that
+loses contact with the store notifies the other hosts, so that they need not wait for a lease that
+has already ended.
 """
 
 import asyncio
@@ -19,13 +19,14 @@
 from peridotdock.relay.clocks import UptimeClock
 
 LEASE_KEY = "leader"
-# Seconds without a renewal after which the lease has lapsed for those that stand by.
+# Seconds without a renewal after which the lease has lapsed for standby hosts.
 LEASE_LAPSE_SECONDS = 2.0
-# Seconds that an order takes at most to reach its engine, over a new connection and a slow link.
+# Maximum seconds for an order to reach its engine, over a new connection and a slow link.
 MAX_ORDER_TRANSIT_SECONDS = 0.4
-# Seconds after a renewal for which the holder acts.
+# Seconds after a renewal during which the holder may act.
 HOLDER_ACT_SECONDS = LEASE_LAPSE_SECONDS - MAX_ORDER_TRANSIT_SECONDS
-# Seconds for one call; a store that is sixty times slower than usual answers within a quarter.
+# Timeout of one call in seconds; a store sixty times slower than usual answers within a quarter of
+# it.
 STORE_CALL_SECONDS = 0.6
 NEVER = float("-inf")
 T = TypeVar("T")
@@ -33,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """Seconds for which a new holder gives no orders: to any engine, and to some for longer."""
+    """Seconds for which a new holder sends no orders: to any engine, and to some for longer."""
 
     wait: float = 0.0
     engines: Mapping[str, float] = field(default_factory=dict)
 
     def remaining_after(self, seconds: float) -> "Handover":
-        """Return what is left of it some seconds later."""
+        """Return what remains of the waits some seconds later."""
         engines = {engine: wait - seconds for engine, wait in self.engines.items()}
         left = {engine: wait for engine, wait in engines.items() if wait > 0}
         return Handover(max(0.0, self.wait - seconds), left)
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resignation:
-    """A holder's word that it gives no more orders under ``term``, and when it was heard."""
+    """A holder's notice that it sends no more orders under ``term``, and when it was received."""
 
     term: int
     handover: Handover
@@ -55,11 +56,12 @@
 
 
 class Leadership:
-    """This host's view of the lease. Times are seconds of a clock that runs in a suspension.
+    """This host's view of the lease, in seconds of a clock that keeps running during suspension.
 
-    ``gap`` is how long after an order of one host has come another host may order the same engine.
-    ``machine`` is this host's address, which tells whether the holder in the row was an earlier
-    process of this host; ``holder_machine`` is the one in the row when it was last read.
+    ``order_gap`` is the minimum time between the arrival of one host's order and an order of
+    another host to the same engine. ``address`` is this host's address, which shows whether the
+    holder in the row was an earlier process of this host; ``holder_address`` is the one in the row
+    when it was last read.
     """
 
     def __init__(
@@ -96,27 +98,28 @@
         self.holder_address = ""
 
     def holds(self) -> bool:
-        """Tell whether this host holds the lease now."""
+        """Return whether this host holds the lease now."""
         return self.term > 0 and self._clock.seconds() < self._held_until
 
     def may_order(self, engine: str = "") -> bool:
-        """Tell whether this host may order an engine now, or without one, those not named lately.
+        """Return whether this host may order ``engine`` now, or any engine not ordered lately.
 
         Failure guarded against: the holder is suspended, another host takes over, and the first
-        wakes and goes on. The clock runs in a suspension, and it is read right before each order.
-        A new holder waits until the last order of the one before is old enough.
+        resumes and continues to order. The clock keeps running during suspension and is read right
+        before each order. A new holder waits until the last order of the previous one is old
+        enough.
         """
         opens = max(self._orders_from, self._engines_from.get(engine, NEVER))
         return self.holds() and self._clock.seconds() >= opens
 
     def record_order(self, engine: str) -> None:
-        """Note that an order is sent to an engine now."""
+        """Record that an order is sent to an engine now."""
         now = self._clock.seconds()
         lately = {name: at for name, at in self._ordered_at.items() if now - at < self._order_gap}
         self._ordered_at = lately | {engine: now}
 
     def inherited_handover(self) -> Handover:
-        """Return what is left of the wait for the orders of holders before."""
+        """Return what remains of the waits for the orders of previous holders."""
         return Handover(self._orders_from, self._engines_from).remaining_after(
             self._clock.seconds()
         )
@@ -124,37 +127,37 @@
     def handover(self) -> Handover:
         """Return how long another host must wait that takes the lease now.
 
-        Failure guarded against: a holder that has just taken over resigns, and the next one orders
-        an engine soon after the one before both.
+        Failure guarded against: a holder that has just taken over resigns, and the next holder
+        orders an engine soon after an order of the holder before both.
         """
         own = {engine: at + self._order_gap for engine, at in self._ordered_at.items()}
         wait = max(self._orders_from, self._successor_from)
         return Handover(wait, self._engines_from | own).remaining_after(self._clock.seconds())
 
     def receive_resignation(self, term: int, handover: Handover) -> None:
-        """Take in another holder's resignation."""
+        """Store another holder's resignation."""
         if self._resignation is None or term > self._resignation.term:
             self._resignation = Resignation(term, handover, self._clock.seconds())
 
     def receive_renewal(self, term: int, version: int) -> None:
-        """Take in the holder's word that it has just renewed.
+        """Apply the holder's notice that it has just renewed the lease.
 
-        It comes after the renewal, so the lease is never thought to lapse before it does.
+        The notice is sent after the renewal, so the lease is never assumed to lapse too early.
         """
         if self.term == 0:
             self._seen_version, self._seen_at = version, self._clock.seconds()
             self._lapses_at = self._seen_at + LEASE_LAPSE_SECONDS
 
     def lapses_in(self) -> float | None:
-        """Return the seconds until the lease of another lapses unless it is renewed, if known."""
+        """Return the seconds until another host's lease lapses without renewal, None if unknown."""
         if self._seen_version is None or self.term:
             return None
         return self._lapses_at - self._clock.seconds()
 
     async def _with_timeout(self, work: Awaitable[T]) -> T | Failure:
-        """Wait for a call of the store, not longer than the lease can bear.
+        """Wait for a call of the store, no longer than the lease allows.
 
-        Where it is lost, no kept connection is taken for the next call: all may be silent.
+        After a timeout, the next call uses no kept connection: all of them may be dead.
         """
         try:
             async with asyncio.timeout(STORE_CALL_SECONDS):
@@ -164,7 +167,7 @@
             return Failure(Kind.OUTCOME_UNKNOWN, "no answer in time")
 
     async def step(self) -> None:
-        """Renew the lease, or take it when its holder has let it lapse or has resigned."""
+        """Renew the lease, or take it when it has lapsed or its holder has resigned."""
         if self.term == 0:
             await self._try_acquire()
         elif not self.holds():
@@ -173,7 +176,7 @@
             await self._renew()
 
     async def _renew(self) -> None:
-        """Renew, and once more at once where the call was lost: the next turn would be too late."""
+        """Renew the lease; retry a lost call at once, as the next step would be too late."""
         if await self._renew_once():
             return
         rows = await self._with_timeout(self._store.read([LEASE_KEY]))
@@ -221,7 +224,7 @@
         if wait is None:
             return
         term = int(row.value["term"]) + 1 if row else 1
-        # Set before the row is written, which tells what is left of them.
+        # Set before the row is written, as the row includes the remaining waits.
         self._orders_from = now + wait.wait
         self._engines_from = {engine: now + more for engine, more in wait.engines.items()}
         outcome = await self._with_timeout(self._write(version, term))
@@ -236,7 +239,7 @@
         )
 
     def _wait_after(self, row: Row | None, now: float) -> Handover | None:
-        """Return how long to wait with orders, or None while the lease is another's."""
+        """Return how long to wait with orders, or None while another host holds the lease."""
         if row is None:
             return Handover()
         notice = self._resignation
@@ -245,9 +248,10 @@
         if not row.value["holder"]:
             return read_handover(row, "handover", self._order_gap)
         if self._address and row.value.get("machine") == self._address:
-            # The holder was this host's last process, which has ended: all hosts were killed at
-            # once, say. To engines it is the same holder, so neither lapse nor gap is waited for.
-            # What it ordered is not known here, so a host that follows waits as after any order.
+            # The holder was this host's previous process, which has ended, for example when all
+            # hosts were killed at once. For engines it is the same holder, so neither the lapse nor
+            # the gap applies. The orders of the previous process are unknown, so a succeeding host
+            # waits as after any order.
             self._successor_from = now + self._order_gap
             return read_handover(row, "inherited", self._order_gap)
         past = self._seconds_since_acting(row, now)
@@ -258,11 +262,11 @@
         return Handover(self._order_gap).remaining_after(past)
 
     def _seconds_since_acting(self, row: Row, now: float) -> float:
-        """Return how long ago, at least, the holder in the row gave its last possible order.
+        """Return the minimum seconds since the holder in the row could have sent its last order.
 
-        The store's clock tells where the row's last change was not heard of. Failure guarded
-        against: a holder renews and is lost before it can say so, and the lease is thought new when
-        another host reads it seconds later.
+        The store's clock is used where the row's last change was not received. Failure guarded
+        against: a holder renews and is lost before it can send its notice, and the lease looks new
+        when another host reads it seconds later.
         """
         seen = now - self._seen_at - HOLDER_ACT_SECONDS
         acts_until, at_least = row.value.get("acts_until"), self._store_time.earliest()
@@ -285,11 +289,12 @@
         return outcome if failed(outcome) else outcome.version
 
     async def release(self) -> None:
-        """Free the lease, so that others need not wait for it to lapse."""
+        """Free the lease, so that other hosts need not wait for it to lapse."""
         if self.term == 0:
             return
         term = self.term
-        # Told before the row is free: whoever takes it has heard then what was loaded last.
+        # The notice is sent before the row is freed, so that the next holder knows the latest
+        # loads.
         self._resign()
         outcome = await self._with_timeout(self._write(self._version, term, holder=""))
         detail = f"term {term}" if not failed(outcome) else f"term {term}: {outcome.reason}"
@@ -297,7 +302,7 @@
 
 
 def read_handover(row: Row, name: str, gap: float) -> Handover:
-    """Return a wait that a lease's row tells; the whole gap where it can't be read."""
+    """Return the waits stored in a lease's row; the full gap where they can't be read."""
     try:
         found = row.value[name]
         engines = {engine: float(wait) for engine, wait in found["engines"].items()}
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -1,4 +1,4 @@
-"""Ordering engines: plans carried out one order at a time on each engine, by the lease's holder."""
+"""Carries out plans on the lease holder, one order at a time on each engine."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection, Coroutine, Mapping
@@ -27,42 +27,43 @@
 from peridotdock.relay.settings import Bounds
 from peridotdock.schema.messages import EngineNews
 
-# Seconds after which an adapter that was ordered can serve: its load takes five to ten
-# milliseconds, and a request that comes sooner is refused.
+# Seconds after which an ordered adapter can serve: its load takes five to ten milliseconds, and an
+# earlier request is refused.
 ADAPTER_LOAD_SECONDS = 0.012
-# Seconds that an engine gets no order after it refused one: its report is as old as that.
+# Seconds without orders to an engine that refused one: its report is as old as that.
 REFUSED_PAUSE_SECONDS = 0.35
-# Seconds after an accepted unload at which the load that it makes room for is tried. The first try
-# is often refused as too soon and the next accepted; a report would tell of the end 0.2 s late.
+# Seconds after an accepted unload until the load that needs its capacity is tried. The first try is
+# often refused as too soon and the next accepted; a report would show the end 0.2 s late.
 SWAP_DELAY_SECONDS = 0.03
-# Least and longest pause, in seconds, before such a load is tried again while requests still run.
+# Minimum and maximum pause, in seconds, before this load is retried while requests still run.
 SWAP_RETRY_SECONDS = (0.1, 0.5)
-# Seconds for which an engine that was emptied for a model is kept for it.
+# Seconds for which an engine that was emptied for a model remains reserved for it.
 RESERVATION_SECONDS = 8.0
-# Seconds that a new holder waits for the first report of each engine, at most.
+# Maximum seconds that a new holder waits for the first report of each engine.
 FIRST_REPORTS_SECONDS = 1.0
-# Seconds of demand after which placement goes by it alone: every busy model is asked for by then.
+# Seconds of known demand after which placement relies on it alone: every busy model has been
+# requested by then.
 DEMAND_SETTLED_SECONDS = 8.0
-# Seconds after which the word of all hosts on what runs, and on what is asked for, has come.
+# Seconds after which all hosts' facts on running requests and demand have arrived.
 HOST_FACTS_SECONDS = 1.0
-# Answers that say that an order is not carried out, now or later.
+# Answers that mean that an order is not carried out, now or later.
 REJECTED = frozenset(
     {OrderAnswer.BUSY, OrderAnswer.REFUSED, OrderAnswer.FENCED, OrderAnswer.ANOTHER}
 )
 
 
-# Asks whether a call may be made now to the endpoint of an id.
+# Requests a permit for a call to the endpoint with an id.
 RequestPermit = Callable[[str], Awaitable[Permit]]
 
 
 async def permit_always(key: str) -> Permit:
-    """Let all calls be made."""
+    """Permit every call."""
     return NO_WAIT
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """The model that an engine was emptied for, and until when it is kept for it."""
+    """The model that an engine was emptied for, and the time until which it is reserved for it."""
 
     model: str
     until: float
@@ -105,10 +106,10 @@
         down: Collection[str],
         running: Mapping[str, Mapping[str, int]],
     ) -> None:
-        """Bring the records up to the entries, plan, and begin what is due.
+        """Update the records from the entries, plan, and start the orders that are due.
 
-        ``down`` are endpoints that some host could not connect to, or that refused a request for
-        what they were said to hold: a look tells what is so.
+        ``down`` are endpoints that some host could not connect to, or that refused a request for an
+        item that they were listed with: reading their report shows their state.
         """
         if not self._leadership.holds():
             return
@@ -122,7 +123,7 @@
                 self._plan(service, service.engine, demand, running)
 
     def _take_over(self, deployment: Deployment) -> None:
-        """Begin anew: nothing is known of what the holder before had under way."""
+        """Reset all state: what the previous holder had in progress is unknown."""
         self._term = self._leadership.term
         self._began = self._ctx.clock.monotonic()
         self._demand_since = None
@@ -139,7 +140,8 @@
         }
         self._ctx.timeline.add(
             "orders_begin",
-            detail=f"term {self._term}, loads heard of {holder_loads}, loads left {left}",
+            detail=f"term {self._term}, load ages of the previous holder {holder_loads}, "
+            f"loads left {left}",
         )
 
     def _load_limiter(self, service: Service) -> LoadRation:
@@ -153,7 +155,7 @@
         return found
 
     def recent_loads(self) -> dict[str, tuple[float, ...]]:
-        """Return when each load that counts was begun, by service."""
+        """Return the start times of all loads that count against the rate limit, by service."""
         now = self._ctx.clock.monotonic()
         return {
             name: begun for name, row in self._load_limiters.items() if (begun := row.begun(now))
@@ -169,7 +171,7 @@
             record.update_entry(state.entry)
 
     def _new_record(self, entry: EndpointEntry, started_ms: int = 0) -> EngineRecord:
-        """Begin anew with an engine: it is new, or has started again under its id."""
+        """Create a record of an engine that is new or has restarted under its id."""
         record = self.records[entry.incarnation] = EngineRecord(entry, started_ms)
         state = self._fleet.states.get(entry.incarnation)
         if state is not None and state.last_update is not None:
@@ -200,8 +202,9 @@
             any(record.unreported for record in records)
             and now < self._began + FIRST_REPORTS_SECONDS
         ):
-            # Failure guarded against: a new holder has read some reports and not others, takes
-            # models on the others for held nowhere, and spends the ration on second copies.
+            # Failure guarded against: a new holder has read the reports of some engines only,
+            # assumes that models on the others are held nowhere, and spends the rate limit on
+            # additional copies.
             return
         for record in records:
             record.pressure.look(self._pending_tokens(record, now), now)
@@ -238,12 +241,12 @@
             self._spawn(self._execute(record, service, spec, step))
 
     def _is_leaving(self, record: EngineRecord) -> bool:
-        """Tell whether an engine leaves: nothing is loaded there, and its copies don't count."""
+        """Return whether an engine drains: nothing is loaded there, and its copies don't count."""
         state = self._fleet.states.get(record.entry.incarnation)
         return record.entry.leaving or (state is not None and state.leaving)
 
     def _demand_settled(self, demand: Mapping[str, Demand], now: float) -> bool:
-        """Tell whether demand has been known for long enough to place by it alone."""
+        """Return whether demand has been known for long enough to place models by it alone."""
         if not any(found.rate for found in demand.values()):
             self._demand_since = None
         elif self._demand_since is None:
@@ -251,12 +254,12 @@
         return self._demand_since is not None and now - self._demand_since > DEMAND_SETTLED_SECONDS
 
     def _has_host_facts(self, now: float) -> bool:
-        """Tell whether all hosts have had the time to tell this one what runs where."""
+        """Return whether all hosts have had the time to report what runs where."""
         since = self._began if self._demand_since is None else self._demand_since
         return now - max(since, self._began) >= HOST_FACTS_SECONDS
 
     def _open_reservations(self, now: float) -> dict[str, str]:
-        """Return the promises that are open: not kept yet, and not too old."""
+        """Return the open reservations: neither fulfilled nor expired."""
         self._reservations = {
             key: reservation
             for key, reservation in self._reservations.items()
@@ -275,7 +278,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _read_report(self, record: EngineRecord) -> None:
-        """Read an engine's report, to learn where it stands."""
+        """Read an engine's report to learn its state."""
         record.in_flight = True
         try:
             if not await self._permitted(record):
@@ -287,7 +290,7 @@
             if not failed(report):
                 record = self._check_restart(record, report)
                 record.apply_report(report, now)
-            # Another look before a report can have changed would only load the engine.
+            # Reading it again before it can have changed would only load the engine.
             waits = record.needs_report or record.loading or record.dropping or record.freeing
             record.paused_until = now + REFUSED_PAUSE_SECONDS if waits else 0.0
         finally:
@@ -295,22 +298,22 @@
             self.changed.set()
 
     async def _permitted(self, record: EngineRecord) -> bool:
-        """Tell whether an engine may be called now; one that has named a limit rests until then."""
+        """Return whether an engine may be called now; otherwise pause it until its limit allows."""
         permit = await self.request_permit(record.entry.incarnation)
         if not permit.given:
             record.paused_until = self._ctx.clock.monotonic() + permit.wait
         return permit.given
 
     def _log_report(self, record: EngineRecord, report: EngineState | Failure) -> None:
-        """Count and log that an engine was asked for a report."""
+        """Count and log that an engine's report was requested."""
         result = f"{report.kind}: {report.reason}" if failed(report) else f"seq {report.seq}"
         self._ctx.metrics.reports.labels("failed" if failed(report) else "read").inc()
         self._ctx.timeline.add("report_read", endpoint=record.entry.incarnation, detail=result)
 
     def _check_restart(self, record: EngineRecord, report: EngineState) -> EngineRecord:
-        """Return the record that a report is of: a new one where the engine has started again.
+        """Return the record for a report: a new record where the engine has restarted.
 
-        An engine that can't reach the store shows a new start in its report alone.
+        The restart of an engine that can't reach the store shows in its report alone.
         """
         key = record.entry.incarnation
         if not 0 < record.started_ms < report.born or self.records.get(key) is not record:
@@ -320,7 +323,7 @@
     async def _execute(
         self, record: EngineRecord, service: Service, spec: EngineSpec, step: Step
     ) -> None:
-        """Give one order and take in what came of it."""
+        """Send one order and apply its outcome."""
         order = EngineOrder(
             step.action, step.model, step.adapter, record.seq, self._ctx.cfg.host_id, self._term
         )
@@ -339,7 +342,8 @@
             outcome = await self._send_order(record, order)
             if outcome in REJECTED:
                 self._load_limiter(service).take_back(begun)
-            # Logged before the pauses that follow some answers, so that the line has its time.
+            # Logged before the pauses that follow some answers, so that the log line has the right
+            # time.
             self._log_order(record, step, order, outcome)
             await self._apply_outcome(record, order, outcome, seconds)
         finally:
@@ -356,7 +360,7 @@
         return outcome
 
     def unanswered_items(self, record: EngineRecord) -> frozenset[str]:
-        """Return what an engine may load yet by orders that were sent to a start before."""
+        """Return what an engine may still load by orders that were sent to an earlier start."""
         now = self._ctx.clock.monotonic()
         return self._unanswered.possible_items(
             record.entry.incarnation, record.started_ms, record.seq, now
@@ -371,13 +375,13 @@
     ) -> None:
         now = self._ctx.clock.monotonic()
         if failed(outcome):
-            # It may be carried out yet, seconds from now. Whatever order the engine accepts first
-            # makes it void, as it expects the number of orders accepted until now; so the next one
-            # needs no wait, and is refused if this one was carried out after all.
+            # It may still be carried out, seconds from now. The next order that the engine accepts
+            # invalidates it, as it expects the number of orders accepted until now; so the next
+            # order needs no wait, and is refused if this one was carried out after all.
             record.needs_report = outcome.kind is Kind.ENDPOINT_UNREACHABLE
         elif outcome is OrderAnswer.ACCEPTED and order.adapter and order.action is Action.UNLOAD:
-            # Requests still use the adapter: it goes when they have ended, and takes its place
-            # until then. Whether the order was counted shows in a report.
+            # Requests still use the adapter: it is unloaded when they have ended, and takes up its
+            # slot until then. A report shows whether the order was counted.
             record.freeing.add(f"{order.model}/{order.adapter}")
             record.needs_report = True
             record.ordered_at = now
@@ -389,12 +393,12 @@
             elif order.action is Action.UNLOAD:
                 await self._ctx.clock.sleep(SWAP_DELAY_SECONDS)
         elif outcome is OrderAnswer.BUSY and record.dropping:
-            # Requests still use the model that makes room: the load waits for their end.
+            # Requests still use the model to be unloaded: the load waits until they end.
             least, most = SWAP_RETRY_SECONDS
             age = now - min(record.dropping.values())
             await self._ctx.clock.sleep(min(most, max(least, age / 2)))
         elif outcome is OrderAnswer.HOLDS_ALREADY and order.adapter:
-            # An adapter that nobody uses is unloaded at once, and that counts as an order.
+            # An unused adapter is unloaded at once, and that counts as an order.
             record.order_accepted(order, now, now)
             record.needs_report = order.action is Action.LOAD
         elif outcome is OrderAnswer.HOLDS_ALREADY:
@@ -418,13 +422,13 @@
         )
 
     async def stop(self) -> None:
-        """End what is under way; an order that was sent may be carried out all the same."""
+        """Cancel the work in progress; an order that was sent may still be carried out."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def make_updates(self) -> list[EngineNews]:
-        """Return what the engines' entries may not show yet."""
+        """Return the changes that the engines' entries may not show yet."""
         now = self._ctx.clock.monotonic()
         return [
             record.make_update(now) for record in self.records.values() if record.has_update(now)
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other: who lives, work on endpoints, what is waited for, orders given."""
+"""Facts that hosts exchange: members, load on endpoints, waiting requests, demand, orders given."""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -40,25 +40,26 @@
     WantsFact,
 )
 
-# Seconds after which another host's word on demand no longer counts.
+# Seconds after which another host's demand no longer counts.
 MAX_DEMAND_AGE_SECONDS = 6.0
-# Seconds for which a peak of demand is held: a rare model is asked for every ten seconds or so, and
-# its copy should last through several such gaps.
+# Seconds for which a peak of demand is held: a rare model is requested every ten seconds or so, and
+# its copy should last through several of these gaps.
 DEMAND_PEAK_SECONDS = 30.0
-# Facts that go to the hub and not from it to all hosts.
+# Topics of facts that go to the hub and are not sent from it to all hosts.
 HUB_TOPICS = frozenset({"work", "runs", "wants", "demand", "usage", "heard_words"})
-# Those of them that the hub does not pass on.
+# Those of them that the hub does not forward.
 HUB_ONLY_TOPICS = frozenset({"work", "usage", "heard_words"})
-# Seconds after which the hub tells the sum of the loads again although it has not changed.
+# Seconds after which the hub publishes the sum of the loads again, even if unchanged.
 LOADS_REPEAT_SECONDS = 1.0
-# Seconds after which news that lasts is told again: half of the time for which it is believed.
+# Seconds after which an unchanged update is published again: half of the time for which it is
+# valid.
 UPDATE_REPEAT_SECONDS = 2.5
-# Hosts whose weight is remembered: more than there are links to a hub.
+# Maximum number of hosts with a cached weight: more than there are links to a hub.
 MAX_CACHED_HASHES = 1000
 
 
 class Peers:
-    """This host's links to the others."""
+    """This host's links to the others and the facts exchanged over them."""
 
     def __init__(self, ctx: Context, settings: HostSettings, fleet: RelayFleet, give_body):
         self._ctx = ctx
@@ -102,8 +103,8 @@
     def link(self) -> None:
         """Link to the hub, and to seeds at which no live host is known.
 
-        All hosts link to one, which passes facts on, so that frames don't grow with the square of
-        the hosts' number.
+        All hosts link to one hub, which forwards facts, so that the number of frames does not grow
+        with the square of the number of hosts.
         """
         members = self.membership.members()
         found = {n: m.fact.peer for n, m in members.items() if m.fact.state != "gone"}
@@ -122,16 +123,16 @@
         """Link to the host at an address, unless a live host is known there.
 
         Failure guarded against: hosts that start together find different seeds, and groups of them
-        with a hub each never hear of each other. They show as several hubs; each group but one sees
-        no host that orders engines. So seeds that nobody has heard of are tried again, and a host
-        that hears of no holder of the lease meets the one whose address is in the lease's row.
+        with one hub each never learn of each other. They show as several hubs; all groups but one
+        have no lease holder. Therefore seeds without a known live host are tried again, and a host
+        without a known lease holder links to the one whose address is in the lease's row.
         """
         rows = self.membership.members().values()
         if not any(row.alive and row.fact.peer == address for row in rows):
             self.mesh.connect_to_seed(address)
 
     def _hub(self) -> str:
-        """Return the host that all others link to, as seen from here."""
+        """Return the host that all others link to, as seen from this host."""
         own, members = self._settings.host, self.membership.members()
         passed_over = {own, *self.mesh.failed_hosts()}
         able = [
@@ -140,19 +141,19 @@
         return max([*able, own], key=lambda name: hub_weight(name, members))
 
     def rank(self, names: Iterable[str]) -> list[str]:
-        """Return hosts in the order in which they are to lead and to pass facts on.
+        """Return hosts in the order in which they should hold the lease and forward facts.
 
-        All hosts that see the same members find the same order. Hosts with a thin link or little
-        processor come last: as the hub they would hold up their own streams.
+        All hosts that see the same members compute the same order. Hosts with a slow link or little
+        CPU come last: as the hub they would delay their own streams.
         """
         members = self.membership.members()
         return sorted(names, key=lambda name: hub_weight(name, members), reverse=True)
 
     def _choose_links(self, others: Mapping[str, str]) -> list[str]:
-        """Return the hosts to link to: the hub, or for the hub one that nobody hears any more.
+        """Return the hosts to link to: the hub, or for the hub itself one unreachable host.
 
         Failure guarded against: links between two groups of hosts fail for a while, each group
-        goes on with a hub of its own, and they never find each other again.
+        continues with its own hub, and they never find each other again.
         """
         hub = self._hub()
         if hub != self._settings.host:
@@ -178,12 +179,12 @@
                 self._apply_loads(known)
 
     def _select_links(self, slot: Slot, links: Collection[Link]) -> Iterable[Link]:
-        """Return those among ``links`` that pass a fact on.
+        """Return those among ``links`` that forward a fact.
 
-        What hosts have on endpoints, have used of quotas and have heard of them in answers goes to
-        the hub alone, which adds it up; what they wait for and are asked for goes to the hub and
-        from there to the holder of the lease. All others hear of heartbeats, sums and orders alone.
-        The hub may have dialled this host.
+        Hosts' load on endpoints, quota usage and limits received in answers go to the hub alone,
+        which adds them up; waiting requests and demand go to the hub and from there to the lease
+        holder. All other hosts receive only heartbeats, sums and orders. The hub may have dialled
+        this host.
         """
         origin, topic = slot
         if topic not in HUB_TOPICS:
@@ -197,29 +198,29 @@
         return [link for link in links if link.peer.host in to or (own and link.dialled)]
 
     def hub(self) -> str:
-        """Return the hub, as seen from here."""
+        """Return the hub, as seen from this host."""
         return self._hub()
 
     def is_hub(self) -> bool:
-        """Tell whether this host is the hub, as seen from here."""
+        """Return whether this host is the hub, as seen from itself."""
         return self._hub() == self._settings.host
 
     def hub_share(self, over: float = 0.0) -> float:
-        """Return the part that this host may give, as the hub, of what all hosts share.
+        """Return the share of a resource common to all hosts that this host may grant as the hub.
 
-        ``over`` is the share by which that may be passed.
+        ``over`` is the share by which the resource may be exceeded.
         """
         members = self.membership.members().values()
         reached = sum(row.alive for row in members)
         return host_share(reached, len(self.known_hosts()), over)
 
     def known_hosts(self) -> list[str]:
-        """Return all hosts that may serve, also those out of reach."""
+        """Return all hosts that may serve, including unreachable ones."""
         rows = self.membership.members().items()
         return [name for name, row in rows if row.fact.state != "gone"]
 
     def _apply_loads(self, known: Known) -> None:
-        """Take in the work of all hosts on endpoints, less what this one has told of its own."""
+        """Apply the load of all hosts on endpoints, less the own load that this host published."""
         own = self.facts.get(self._settings.host, "work")
         own_work = decode_work(own.fact) if own is not None else {}
         rest = subtract_work(decode_work(known.fact), own_work)
@@ -228,7 +229,7 @@
         )
 
     def publish_loads(self) -> None:
-        """As the hub, tell all hosts the sum of what they have on endpoints."""
+        """On the hub, publish the sum of all hosts' load on endpoints to all hosts."""
         if not self.is_hub():
             return
         now = self._ctx.clock.monotonic()
@@ -258,7 +259,7 @@
             self.on_resigned(newest.resigned, Handover(newest.wait, newest.engine_waits))
 
     def has_lease_holder(self) -> bool:
-        """Tell whether a live host that this one hears says that it orders engines."""
+        """Return whether a live host in contact with this one reports that it orders engines."""
         live, linked = self.membership.members(), self._linked_hosts()
         for origin, known in self.facts.on("orders").items():
             member = live.get(origin)
@@ -268,7 +269,7 @@
         return False
 
     def _linked_hosts(self) -> set[str]:
-        """Return the hosts that this one or a host that it is linked to has a link with.
+        """Return the hosts linked to this one or to a host that it is linked to.
 
         A lost link shows at once, a missing heartbeat after four seconds.
         """
@@ -279,10 +280,10 @@
                 found.update(known.fact.peers)
         return found
 
-    # What this host tells
+    # Facts that this host publishes
 
     def publish_work(self) -> None:
-        """Tell what this host has on endpoints, when that has changed."""
+        """Publish this host's load on endpoints, if it changed."""
         rows = {
             key: (len(state.in_flight), state.pending_tokens)
             for key, state in self._fleet.states.items()
@@ -291,7 +292,7 @@
         self._publish_changed("work", encode_work(rows))
 
     def publish_runs(self) -> None:
-        """Tell how many requests of this host run on each endpoint for each model and adapter."""
+        """Publish how many requests of this host run on each endpoint, by model and adapter."""
         rows: dict[tuple[str, str], int] = {}
         for key, state in self._fleet.states.items():
             for request in state.in_flight.values():
@@ -307,7 +308,7 @@
         return total
 
     def publish_wants(self) -> None:
-        """Tell what requests on this host wait for."""
+        """Publish the items that requests on this host wait for."""
         now = self._ctx.clock.monotonic()
         down = [
             key
@@ -317,12 +318,12 @@
         self._publish_changed("wants", WantsFact(dict(self.waiting), down, self.queued()))
 
     def down(self) -> set[str]:
-        """Return the endpoints that live hosts could not connect to, or found to lack something."""
+        """Return the endpoints that live hosts could not connect to, or found to lack an item."""
         rows = live_facts(self.facts, self.membership, "wants")
         return {key for _, known in rows for key in known.fact.down}
 
     def publish_demand(self) -> None:
-        """Tell what callers ask of this host, when it has changed much."""
+        """Publish the demand of this host's callers, if it changed much."""
         now = self._ctx.clock.monotonic()
         rates, recent = self.demand_meter.rates(now), self.demand_meter.recent(now)
         known = self.facts.get(self._settings.host, "demand")
@@ -332,10 +333,10 @@
     def publish_orders(
         self, term: int, updates: list[EngineNews], loads: dict[str, tuple[float, ...]]
     ) -> None:
-        """Tell what this host's orders changed, and which loads it has begun.
+        """Publish the changes that this host's orders made, and the loads that it has started.
 
-        The time until a load is done is told once: it runs on as the fact grows older, so a look
-        that finds nothing else new has nothing to tell.
+        The time until a load is done is published once: receivers subtract the fact's age, so an
+        update in which only that time changed is not published.
         """
         key = term, tuple(update_key(row) for row in updates), loads
         now = self._ctx.clock.monotonic()
@@ -347,7 +348,7 @@
         self.facts.publish("orders", OrdersFact(term, updates, loads=ages))
 
     def holder_loads(self, term: int) -> dict[str, list[float]] | None:
-        """Return how old the loads are that the holder of a term told of, None if it told none."""
+        """Return the ages of the loads published by the holder of a term, None if it has none."""
         now = self._ctx.clock.monotonic()
         for known in self.facts.on("orders").values():
             if term in (known.fact.term, known.fact.resigned):
@@ -358,11 +359,11 @@
         return None
 
     def publish_lease(self, term: int, version: int) -> None:
-        """Tell that this host has just renewed the lease."""
+        """Publish that this host has just renewed the lease."""
         self.facts.publish("lease", LeaseFact(term, version))
 
     def publish_resignation(self, term: int, handover: Handover) -> None:
-        """Tell that this host gives no more orders under ``term``, and how long to wait for it."""
+        """Publish that this host sends no more orders under ``term``, and its successor's waits."""
         known = self.facts.get(self._settings.host, "orders")
         if known is None or known.fact.resigned != term:
             self._published_orders = None
@@ -380,7 +381,7 @@
             self.facts.publish(topic, fact)
 
     def demand(self) -> dict[str, Demand]:
-        """Return what is asked of each item over all live hosts."""
+        """Return the demand for each item over all live hosts."""
         wants, demands = (
             [known.fact for _, known in live_facts(self.facts, self.membership, topic)]
             for topic in ("wants", "demand")
@@ -389,23 +390,23 @@
 
 
 def age_update(update: EngineNews, past: float) -> EngineNews:
-    """Return what was said of an engine as it holds some seconds later."""
+    """Return an update on an engine as it applies some seconds later."""
     coming = {model: max(0.0, seconds - past) for model, seconds in update.coming.items()}
     return replace(update, coming=coming)
 
 
 def hub_weight(name: str, members: Mapping[str, Member]) -> tuple[int, int]:
-    """Return what hosts are ordered by when one is to lead or to pass facts on."""
+    """Return the sort key of a host for the role of the hub or the lease holder."""
     member = members.get(name)
     return member.fact.power if member else 0, hash_host(name)
 
 
 @lru_cache(maxsize=MAX_CACHED_HASHES)
 def hash_host(name: str) -> int:
-    """Return a host's weight in the order; the same ones are looked at a dozen times a second."""
+    """Return a host's weight in the order; cached, as it is used a dozen times a second."""
     return weigh("leader", name)
 
 
 def update_key(row: EngineNews) -> tuple:
-    """Return all of an engine's news but the times, which change with each look."""
+    """Return an engine's update without the times, which change with each plan."""
     return row.endpoint, tuple(row.items), tuple(row.dropping), tuple(sorted(row.coming))
--- a/peridotdock/relay/reachability.py
+++ b/peridotdock/relay/reachability.py
@@ -1,8 +1,8 @@
-"""Which hosts this one can reach over links, by what all hosts say of theirs.
+"""Computes which hosts this one can reach over links, from the links that all hosts publish.
 
-A host's end shows at the other ends of its links at once when it was killed, and a little later
-when it fell silent; they tell all others. So no heartbeat has to go from each host to all others,
-which grows with the square of their number.
+The end of a host shows at the other ends of its links, at once when it was killed and a little
+later when it stopped responding; these hosts notify all others. Therefore no heartbeat has to go
+from each host to all others, which would grow with the square of the number of hosts.
 """
 
 from collections.abc import Callable, Collection
@@ -12,11 +12,11 @@
 
 
 class Reachability:
-    """The hosts that this one reaches, over as many links as it takes.
+    """The hosts that this one reaches, over any number of links.
 
-    A link counts when both ends tell of it: one that is gone for good tells of its links no more,
-    but the last that it told of them is still known. ``peers`` gives the hosts at the other ends of
-    this one's links, ``heard_at`` when the last word came from one whose link has ended.
+    A link counts when both ends publish it: a host that is gone for good publishes no more, but its
+    last published links remain known. ``peers`` returns the hosts at the other ends of this host's
+    links, ``last_received`` when the last frame came from a host whose link has ended.
     """
 
     def __init__(
@@ -43,26 +43,26 @@
             self._changed_at = self._clock.monotonic()
 
     def hosts(self) -> frozenset[str]:
-        """Return the hosts that are reached, without this one."""
+        """Return the reachable hosts, without this one."""
         if self._changed_at is not None:
             self._refresh(self._changed_at)
             self._changed_at = None
         return self._found
 
     def parted(self, host: str) -> float:
-        """Return when a host that is not reached now last was (monotonic seconds)."""
+        """Return when a host that is unreachable now was last reachable (monotonic seconds)."""
         return self._unreachable_since.get(host, float("-inf"))
 
     def forget(self, host: str) -> None:
-        """Forget when a host was last reached."""
+        """Forget when a host was last reachable."""
         self._unreachable_since.pop(host, None)
 
     def _refresh(self, changed_at: float) -> None:
-        """Search anew, and note which hosts are not reached any more.
+        """Search again, and record which hosts are no longer reachable.
 
-        Failure guarded against: a machine loses its power, its link is found silent after two
-        seconds, and only from then on are those counted for which a host may be out of reach. A
-        host at the other end of an own link counts from its last word.
+        Failure guarded against: a machine loses its power, its link is detected as dead after two
+        seconds, and the time for which a host may be unreachable would only start then. A host at
+        the other end of an own link counts from its last frame.
         """
         before, self._found = self._found, self._search()
         direct, self._direct = self._direct, frozenset(self._peers())
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -1,4 +1,4 @@
-"""What the host that orders engines knows of each: orders accepted, models held or coming."""
+"""The lease holder's record of each engine: accepted orders, models held, loading or unloading."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,18 +12,18 @@
 from peridotdock.relay.fleet import load_seconds
 from peridotdock.schema.messages import EngineNews
 
-# Seconds beyond its usual time after which a load that does not show is looked for in a report, and
-# after an unload: reports are 0.2 s old, and entries come a second later.
+# Seconds beyond its usual time after which a report is read for a load that does not show, and the
+# same after an unload: reports are 0.2 s old, and entries follow a second later.
 LOAD_SLACK_SECONDS = 0.25
 UNLOAD_SLACK_SECONDS = 0.25
-# Seconds after an order for which the other hosts go by the word of the one that gave it: an
-# engine's heartbeat comes every second or so, and the store's feed is read with pauses.
+# Seconds after an order during which other hosts use the update of the host that sent it: an
+# engine's heartbeat is written about every second, and the store's feed is read with pauses.
 UPDATE_SECONDS = 3.0
-# Seconds for which a model that was loaded is not unloaded to make room for a further copy.
+# Seconds for which a newly loaded model is not unloaded to free capacity for an additional copy.
 SETTLING_SECONDS = 10.0
-# Seconds over which the tokens that wait at an engine are averaged.
+# Seconds over which the pending tokens of an engine are averaged.
 PRESSURE_SECONDS = 2.0
-# Seconds after an order for which a report may be older than the order.
+# Seconds after an order during which a report may be older than the order.
 REPORT_LAG_SECONDS = 0.8
 
 
@@ -32,16 +32,17 @@
 
 @dataclass
 class EngineRecord:
-    """One start of an engine. ``loading`` has when each load should be done, in monotonic seconds.
+    """One start of an engine, as the lease holder knows it. Times are monotonic seconds.
 
-    ``dropping`` has when each unload was accepted. ``freeing`` are adapters, as MODEL/NAME, that go
-    when the requests that use them have ended.
+    ``loading`` maps models to when their load should finish, ``dropping`` to when their unload was
+    accepted. ``freeing`` are adapters, as MODEL/NAME, that are unloaded once the requests that use
+    them have ended.
 
-    ``born`` tells the start: the entry may still be that of the one before, where the engine can't
-    reach the store. ``seq`` counts the orders it accepted, as far as is known. ``unknown`` is set
-    until the first report. ``unsure`` is set while the count is not known: at first, and after an
-    order that got no answer. The engine's report tells; one that can't be had because nothing is
-    there sets ``down``.
+    ``started_ms`` identifies the start: the entry may still be that of the previous start, where
+    the engine can't reach the store. ``seq`` counts the accepted orders, as far as known.
+    ``unreported`` is set until the first report. ``needs_report`` is set while the count is
+    unknown: at first, and after an order without an answer. The engine's report resolves it;
+    ``unreachable`` is set when the report can't be read because nothing listens there.
     """
 
     entry: EndpointEntry
@@ -64,10 +65,11 @@
         self.started_ms = self.started_ms or self.entry.born
 
     def restore(self, update: EngineNews, at: float, now: float) -> None:
-        """Take in what the holder before said of its orders, at a time, as far as it may go on.
+        """Apply the previous holder's update of a given time, where its orders may still be
+        running.
 
-        Failure guarded against: a new holder doesn't know of a load that is under way, as it shows
-        in no report, and loads the model on another engine too.
+        Failure guarded against: a new holder doesn't know of a load in progress, as no report
+        shows it, and loads the model on another engine too.
         """
         if update.born != self.started_ms:
             return
@@ -76,11 +78,12 @@
         self.dropping |= dict.fromkeys(update.dropping, at)
 
     def update_entry(self, entry: EndpointEntry) -> None:
-        """Take in the engine's entry: where it tells something else, a report is needed.
+        """Apply the engine's entry; where it differs from the record, a report is needed.
 
-        Failure guarded against: the store was away, so the entry is older than an order carried
-        out meanwhile, and a load planned by it would overfill the engine. Entries only say that
-        something changed; what an engine holds is taken from its reports and its answers.
+        Failure guarded against: the store was unavailable, so the entry is older than an order
+        carried out meanwhile, and a load planned by the entry would exceed the engine's capacity.
+        Entries only signal that something changed; what an engine holds is taken from its reports
+        and its answers.
         """
         if entry is self.entry:
             return
@@ -98,18 +101,18 @@
             self.needs_report = True
 
     def apply_report(self, report: EngineState, now: float) -> None:
-        """Take in a report; one that shows no work under way ends what was thought to be.
+        """Apply a report; one that shows no work in progress ends the assumed work.
 
-        Soon after an order, a report with fewer orders than were accepted is older than that. Later
-        the report is right: an engine that says it carries an order out may not count it again.
-        A report of another start tells nothing of this one.
+        Soon after an order, a report that counts fewer orders than were accepted is older than the
+        order. Later the report is right: an engine that answers that it carries an order out may
+        not count it again. A report of another start says nothing about this one.
         """
         if report.born != self.started_ms and report.born and self.started_ms:
             return
         if report.seq < self.seq and now - self.ordered_at < REPORT_LAG_SECONDS:
             return
         self.unreported = False
-        # Busy with an order of another host: what that loads shows only when it is done.
+        # Busy with an order of another host: its effect only shows when it is done.
         self.needs_report = report.busy and not (self.loading or self.dropping)
         self.seq = report.seq
         self.models = {name: set(m.adapters) for name, m in report.models.items()}
@@ -124,13 +127,13 @@
         self.dropping.clear()
 
     def order_accepted(self, order: EngineOrder, ready_at: float, now: float) -> None:
-        """Take in that the engine accepted an order; a load is done at ``ready_at``."""
+        """Record that the engine accepted an order; a load is done at ``ready_at``."""
         self.seq = order.expected + 1
         self.ordered_at = now
         self.apply_order(order, ready_at, now)
 
     def apply_order(self, order: EngineOrder, ready_at: float, now: float) -> None:
-        """Take in what an order changes."""
+        """Apply the changes that an order makes."""
         if order.adapter:
             adapters = self.models.setdefault(order.model, set())
             loads = order.action is Action.LOAD
@@ -142,7 +145,7 @@
             self.dropping[order.model] = now
 
     def report_due(self, now: float) -> bool:
-        """Tell whether a report is needed to know where the engine stands."""
+        """Return whether a report is needed to know the engine's state."""
         late = any(at + LOAD_SLACK_SECONDS < now for at in self.loading.values())
         late = late or any(at + UNLOAD_SLACK_SECONDS < now for at in self.dropping.values())
         return (
@@ -159,7 +162,8 @@
     ) -> EngineView:
         """Return the engine as plans see it.
 
-        ``late`` is what it may load by lost orders yet, ``running`` the requests there by item.
+        ``unanswered`` are the items that it may still load by lost orders, ``running`` the requests
+        there by item.
         """
         models = {name: frozenset(adapters) for name, adapters in self.models.items()}
         models |= {name: frozenset() for name in self.loading if name not in models}
@@ -182,10 +186,10 @@
         )
 
     def has_update(self, now: float) -> bool:
-        """Tell whether the engine's entry does not show all that its orders changed.
+        """Return whether the engine's entry lacks some of the changes of its orders.
 
-        News goes to all hosts with each order; of what an engine's entry shows they need none, and
-        until its first report nothing is known of what it holds.
+        Updates go to all hosts with each order; none is needed for what the engine's entry shows,
+        and what it holds is unknown until its first report.
         """
         if self.unreported:
             return False
@@ -208,7 +212,7 @@
 
 
 def order_seconds(entry: EndpointEntry, spec: EngineSpec, order: EngineOrder) -> float:
-    """Return how long an engine takes to carry out an order for a model, by what it has at hand."""
+    """Return how long an engine takes for an order, given the model's cached weights."""
     model = spec.models.get(order.model)
     if model is None or order.adapter or order.action is Action.UNLOAD:
         return 0.0
--- a/peridotdock/relay/unanswered_orders.py
+++ b/peridotdock/relay/unanswered_orders.py
@@ -1,17 +1,18 @@
-"""Orders that got no answer: what an engine may load by them after it has started again."""
+"""Orders without an answer: what an engine may still load by them after it has restarted."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from peridotdock.clients.engines import Action, EngineOrder
 
-# Seconds after an order was sent in which it may be carried out: the platform's longest delay.
+# Seconds after sending during which an order may still be carried out: the platform's longest
+# delay.
 MAX_ORDER_DELAY_SECONDS = 12.0
 
 
 @dataclass(frozen=True, slots=True)
 class UnansweredOrder:
-    """An order to one start of an engine, and until when it may arrive."""
+    """An order to one start of an engine, and the time until which it may arrive."""
 
     started_ms: int
     order: EngineOrder
@@ -19,13 +20,13 @@
 
 
 class UnansweredOrders:
-    """Orders that are out, or whose answer was lost, by the engine's id.
+    """Orders in flight, or with a lost answer, by the engine's id.
 
-    Failure guarded against: a load gets no answer, the engine starts again under its id, and its
-    count of orders begins anew. Once the count fits, the load is carried out, seconds late, beside
-    one that the new start was ordered since: it takes more than it has room for and crashes. For
-    as long as the load may arrive, what it would load counts as held. A start itself needs none of
-    this: the next order that it accepts makes the late one void.
+    Failure guarded against: a load gets no answer, the engine restarts under its id, and its count
+    of orders starts from zero. Once the count matches, the load is carried out, seconds late, in
+    addition to one ordered since from the new start: the engine exceeds its capacity and crashes.
+    For as long as the load may arrive, its item counts as held. The start that the load was sent to
+    needs no such guard: the next order that it accepts invalidates the late one.
     """
 
     def __init__(self) -> None:
@@ -35,7 +36,7 @@
         return sum(len(rows) for rows in self._rows.values())
 
     def add(self, engine: str, started_ms: int, order: EngineOrder, now: float) -> None:
-        """Note an order that is sent now."""
+        """Record an order that is sent now."""
         rows = [row for row in self._rows.get(engine, ()) if row.arrives_until >= now]
         self._rows[engine] = [
             *rows,
@@ -43,7 +44,7 @@
         ]
 
     def discard(self, engine: str, order: EngineOrder) -> None:
-        """Forget an order that was answered, or never left."""
+        """Remove an order that was answered, or never sent."""
         rows = [row for row in self._rows.get(engine, ()) if row.order is not order]
         if rows:
             self._rows[engine] = rows
@@ -51,9 +52,10 @@
             self._rows.pop(engine, None)
 
     def possible_items(self, engine: str, started_ms: int, seq: int, now: float) -> frozenset[str]:
-        """Return what a start may load yet: models, and adapters as MODEL/NAME.
+        """Return what a start may still load: models, and adapters as MODEL/NAME.
 
-        ``seq`` is the number of orders that it has accepted: an order that expects fewer is void.
+        ``seq`` is the number of orders that it has accepted: an order that expects fewer is
+        invalid.
         """
         return frozenset(self._loaded_items(engine, started_ms, seq, now))
 
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -1,4 +1,4 @@
-"""This host's views of the store's tables: it reads them for all others, or hears of them."""
+"""This host's views of the store's tables, read from the store or fed by the reader's frames."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
@@ -11,12 +11,12 @@
 from peridotdock.relay.peers import Peers
 from peridotdock.schema.messages import Rows, RowsWanted
 
-# Seconds between two words of the host that reads for all on a table that has not changed: a third
-# of the shortest time for which it may be silent.
+# Seconds between two frames of the reader on an unchanged table: a third of the shortest time for
+# which it may be silent.
 UNCHANGED_INTERVAL_SECONDS = 0.3
 HideKeys = Callable[[str, dict[str, bytes | None]], dict[str, bytes | None]]
-# Bytes of a change, deflated, up to which it goes to all hosts over links, in place of a call of
-# the store by each of them: a larger one would fill the link of the host that passes it on.
+# Maximum bytes of a change, deflated, that is sent to all hosts over links, in place of a call of
+# the store by each of them: a larger one would saturate the link of the host that forwards it.
 MAX_PUBLISHED_BYTES = 64 * 1024
 
 
@@ -29,9 +29,9 @@
 class FollowedTable:
     """One followed table. ``bound`` is how soon a change must be seen, in seconds.
 
-    ``most_told`` are the most bytes of a change, deflated, that are told; of a larger one others
-    hear only that there is one, and read it themselves. ``beat`` and ``told_at`` are those of this
-    host's last word on it.
+    ``max_published_bytes`` is the maximum size of a published change, deflated; for a larger one,
+    other hosts are only notified and read it themselves. ``beat`` and ``published_at`` are those of
+    this host's last frame on it.
     """
 
     follower: Follower
@@ -64,7 +64,7 @@
         max_published_bytes: int = MAX_PUBLISHED_BYTES,
         pause: float | None = None,
     ) -> Follower:
-        """Return the follower of a table, to be run; ``pause`` goes before the bound's share."""
+        """Return the follower of a table, to be run; ``pause`` overrides the bound's share."""
         limits = share_out(bound)
         rest = limits.pause if pause is None else pause
         follower = Follower(self._ctx, self._tables, table, apply_rows, lambda: rest, limits)
@@ -76,11 +76,11 @@
         return follower
 
     def _must_read(self) -> bool:
-        """Tell whether this host must read the store itself: it orders, or nobody else reads."""
+        """Return whether this host must read the store: as lease holder, or where none is known."""
         return self._is_lease_holder() or not self._peers.has_lease_holder()
 
     def _publish(self, table: str, found: TableChanges | TableView, after: int) -> None:
-        """As the host that reads for all, tell the others what the store has given."""
+        """On the reader, publish what the store returned to the other hosts."""
         whole = isinstance(found, TableView)
         self._send_rows(table, after, found.version, found.values, whole)
 
@@ -113,11 +113,11 @@
         return deflate_rows(Rows("rows", table, origin, row.beat, after, version, hidden, age=age))
 
     def publish_unchanged(self) -> None:
-        """Tell that nothing has changed, and how long ago that was known.
+        """Publish that nothing has changed, and how long ago that was known.
 
-        The age is that of answers on the very table. Failure guarded against: the call on a table
-        is lost while the lease is renewed over another connection; others then take an old view
-        for a new one, and none of them asks.
+        The age is that of answers on the same table. Failure guarded against: the call on a table
+        is lost while the lease is renewed over another connection; other hosts then treat an old
+        view as current, and none of them calls the store.
         """
         now = self._ctx.clock.monotonic()
         for table, row in self._followed.items():
@@ -134,7 +134,7 @@
         return row is not None and row.follower.receive(frame)
 
     def _answer_rows_wanted(self, wanted: RowsWanted) -> Rows | None:
-        """Return a whole table for a host that the store does not give it, where ours is newer."""
+        """Return a whole table for a host that the store refuses, if the local one is newer."""
         row = self._followed.get(wanted.table)
         version = row.follower.version if row is not None else None
         if row is None or version is None or version <= wanted.after:
@@ -143,15 +143,15 @@
         return replace(frame, whole=True, direct=True)
 
     def refresh(self) -> None:
-        """Ask the store anew for all tables: it was away, maybe, and has lost calls."""
+        """Call the store again for all tables: after a possible outage, it may have lost calls."""
         for row in self._followed.values():
             row.follower.refresh()
 
     def age(self, table: str) -> float:
-        """Return the seconds since a table was last known to be as the store's."""
+        """Return the seconds since a table was last known to match the store."""
         return self._followed[table].follower.age()
 
     def record_ages(self) -> None:
-        """Log and count how old the views are."""
+        """Log and export the ages of the views."""
         for row in self._followed.values():
             row.follower.record_age(row.bound)
