--- a/peridotdock/relay/endpoint.py
+++ b/peridotdock/relay/endpoint.py
@@ -199,9 +199,9 @@
         self.announced_leaving = before.announced_leaving
         self.backoff_until = before.backoff_until
 
-    def set_limit(self, word: AnnouncedLimit) -> None:
+    def set_limit(self, limit: AnnouncedLimit) -> None:
         """Store a limit that is newer than the known one."""
-        self.limit = word
+        self.limit = limit
         self.limit_announced = self.limit_announced or self.limited
 
     def update_entry(self, entry: EndpointEntry) -> None:
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -145,8 +145,8 @@
         """Return whether another host keeps this view up to date."""
         if self.must_read() or self._behind_reader():
             return False
-        heard = self._ctx.clock.monotonic() - self._last_frame_at < self.limits.silence
-        return heard and self.age() < self.limits.age
+        reader_active = self._ctx.clock.monotonic() - self._last_frame_at < self.limits.silence
+        return reader_active and self.age() < self.limits.age
 
     def _behind_reader(self) -> bool:
         """Return whether another host has named a version that this one does not have."""
@@ -273,8 +273,7 @@
             self._ctx.timeline.add("store_in_touch", detail=self.table)
 
     def record_age(self, bound: float) -> None:
-        """Export the view's age; log when it passes the bound for seeing changes, and when it
-        recovers.
+        """Export the view's age; log when it passes the bound, and when it is current again.
 
         Nothing else shows why a request that was sent by an outdated view went to its endpoint.
         """
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -65,11 +65,10 @@
         self.started_ms = self.started_ms or self.entry.born
 
     def restore(self, update: EngineNews, at: float, now: float) -> None:
-        """Apply the previous holder's update of a given time, where its orders may still be
-        running.
+        """Apply an update of the previous holder, where its orders may still be running.
 
-        Failure guarded against: a new holder doesn't know of a load in progress, as no report
-        shows it, and loads the model on another engine too.
+        Failure guarded against: a new holder doesn't know of a load in progress, as no report shows
+        it, and loads the model on another engine too.
         """
         if update.born != self.started_ms:
             return
