--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -1,10 +1,10 @@
-"""Requests that end the endpoints that run them: all hosts keep them from being sent again.
+"""A block list of requests that crash the endpoints that run them, shared by all hosts.
 
-Failure guarded against: a request ends every engine that begins it. Its caller repeats it under new
-ids at any host, so each host sees a part of the ends and each attempt starts with a clean slate.
-Engine after engine ends, with all streams of other callers. Each host tells the others which
-requests an endpoint had just begun when it ended, and all judge by the same sum, a fifth of a
-second after the third end with nine hosts.
+Failure guarded against: a request ends every engine that begins it. The caller retries it under new
+ids at any host, so each host sees only some of the ends and each attempt starts without a list of
+tried engines. Engine after engine ends, with all streams of other callers. Each host therefore
+publishes which requests an endpoint had just begun when it ended, and all hosts apply the same rule
+to the union; with nine hosts a request is blocked a fifth of a second after the third end.
 """
 
 from collections import Counter
@@ -20,24 +20,24 @@
 from peridotdock.trials import Trials
 
 TOPIC = "ends"
-# Seconds from its last end for which a request is blocked; then it is tried again, as the endpoints
-# may have been mended. Where they are not, it ends one in that time.
+# A request is blocked for this long after its last end; then it is tried again, as the endpoints
+# may have been fixed. If they have not, it ends one endpoint in each such period.
 BLOCKED_SECONDS = 600.0
-# Seconds for which an end speaks against the requests that were there: six trials of one of them.
+# An end counts against the requests that were running for this long: six trials of one request.
 REMEMBERED_SECONDS = 3600.0
-# Seconds until the caller of a request that is to be tried may come back: most answers are there by
-# then, and the next one can be tried.
+# The retry-after of a request that waits for a trial; most trials are answered by then, so that the
+# next one can start.
 TRIAL_RETRY_SECONDS = 1.0
-# Ends that a host remembers: those of all endpoints of the size designed for.
+# Ends that a host remembers: one for each endpoint of the largest deployment designed for.
 MAX_ENDS = 1000
-# Ends that a host tells of, beside those under blocked requests, and answers. Older ones were told
-# before; the bound keeps the message small when all endpoints of a failure domain end at once.
+# Ends, beside those of blocked requests, and answers that a host publishes in one fact. Older ones
+# were published before; the bound keeps the fact small when a whole failure domain ends at once.
 MAX_PUBLISHED_ENDS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointStart:
-    """One start of an endpoint: its id, and what tells this start from others under that id."""
+    """One start of an endpoint: its id, and a value that differs between starts of that id."""
 
     endpoint: str
     start: str
@@ -47,7 +47,7 @@
 class End:
     """The end of an endpoint at a time (monotonic seconds), and the requests it had just begun.
 
-    ``told`` are those of which this host tells the others.
+    ``published`` are the requests that this host publishes for this end.
     """
 
     at: float
@@ -56,19 +56,20 @@
 
 
 class IdentifiedRequest(Protocol):
-    """A request that is known again in another attempt."""
+    """A request that can be matched to other attempts at the same content."""
 
     @property
     def content_id(self) -> str:
-        """Return what all attempts at the same request share."""
+        """Return the id that all attempts at the same request share."""
 
 
 class Blocklist:
-    """The requests that this host does not send, by the ends of which all hosts have told.
+    """The requests that this host does not send, judged by the ends that all hosts published.
 
-    ``has_ended`` tells whether a start of an endpoint that broke off at a time has ended: answers
-    also break off when something between it and a host does. ``may_try`` tells whether this host is
-    the one to try what may be innocent. ``on_blocked`` is called when a request is newly blocked.
+    ``has_ended`` tells whether the start of an endpoint whose answer broke off at a time has ended:
+    an answer also breaks off when the connection between endpoint and host fails. ``may_try`` tells
+    whether this host is the one that tries doubtful requests. ``on_blocked`` is called when a
+    request is newly blocked.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         self.on_blocked: Callable[[], None] = lambda: None
         facts.listen(self._on_changed)
 
-    # What this host sees
+    # Observations of this host
 
     def note_end(self, req: IdentifiedRequest, start: EndpointStart) -> None:
         """Note that an endpoint broke off soon after it had been sent a request."""
@@ -103,7 +104,7 @@
         self._judge_if_due()
 
     def note_answer(self, req: IdentifiedRequest) -> None:
-        """Note that a request was answered with success: it ends nothing."""
+        """Clear a request that was answered successfully of all ends so far."""
         if not self._counts:
             return
         content = req.content_id
@@ -113,7 +114,7 @@
             self._unpublished = True
 
     def refusal(self, req: IdentifiedRequest) -> Failure | None:
-        """Return why a request must not be sent, or None."""
+        """Return the failure with which to reject a blocked request, or None."""
         if not self._suspects:
             return None
         content = req.content_id
@@ -153,14 +154,15 @@
         self._ctx.timeline.add("request_blocked", "WARNING", detail=detail)
 
     def _judge_if_due(self) -> None:
-        """Look for requests to block when one is at enough ends, not when it comes again.
+        """Judge as soon as another request is at enough ends, rather than when it is retried.
 
-        Only then: an end is noted for each of the requests that were there, sixty at a time.
+        An end is noted once for each request that was running, sixty at a time, so judging on
+        every note would cost too much.
         """
         if self._judgement_due:
             self.blocked()
 
-    # What all know
+    # Ends of all hosts
 
     def _add(
         self,
@@ -169,7 +171,7 @@
         contents: frozenset[str],
         published: frozenset[str] = frozenset(),
     ) -> None:
-        """Add requests to an end, but for those that were answered since."""
+        """Add requests to an end, except those that have been answered since."""
         contents = frozenset(c for c in contents if self._answered.get(c, float("-inf")) < at)
         if not contents:
             return
@@ -183,7 +185,7 @@
         )
 
     def _clear(self, content: str, at: float) -> None:
-        """Hold no end up to a time against a request."""
+        """Stop counting the ends up to a time against a request."""
         self._answered[content] = max(at, self._answered.get(content, at))
         for start, end in list(self._ends.items()):
             if content in end.contents and end.at <= at:
@@ -204,7 +206,7 @@
             del self._ends[start]
 
     def _expire(self) -> None:
-        """Forget what is too old, and the oldest of what is too much."""
+        """Drop ends and answers that are too old, and the oldest ends beyond ``MAX_ENDS``."""
         oldest = self._ctx.clock.monotonic() - REMEMBERED_SECONDS
         by_age = sorted(self._ends, key=lambda start: self._ends[start].at)
         late = {start for start in by_age if self._ends[start].at < oldest}
@@ -213,10 +215,10 @@
             self._drop(start, self._ends[start].contents)
         self._answered = {content: at for content, at in self._answered.items() if at >= oldest}
 
-    # What hosts tell each other
+    # Facts between hosts
 
     def publish_changes(self) -> None:
-        """Tell the other hosts what is new."""
+        """Publish this host's ends and answers if they have changed."""
         if self._unpublished:
             self._unpublished = False
             self._expire()
@@ -250,10 +252,10 @@
             start = EndpointStart(row.endpoint, row.start)
             self._add(start, known.at - row.age, frozenset(row.contents))
 
-    # What lasts
+    # Persistence
 
     def ends_of_blocked(self) -> list[EndpointEnd]:
-        """Return the ends under the requests that are blocked, with nothing of other requests."""
+        """Return the ends of the blocked requests, without the other requests that were there."""
         now, blocked = self._ctx.clock.monotonic(), self.blocked()
         return [
             EndpointEnd(start.endpoint, start.start, now - end.at, sorted(end.contents & blocked))
@@ -262,7 +264,7 @@
         ]
 
     def adopt(self, ends: Iterable[EndpointEnd]) -> None:
-        """Take in ends, and tell of them as of those that this host saw itself."""
+        """Add ends, and publish them like those that this host observed itself."""
         now = self._ctx.clock.monotonic()
         for row in ends:
             start, contents = EndpointStart(row.endpoint, row.start), frozenset(row.contents)
--- a/peridotdock/blocklist_store.py
+++ b/peridotdock/blocklist_store.py
@@ -1,8 +1,8 @@
-"""The block list in the platform's store, where one host at a time keeps it for all.
+"""Stores the block list in the platform's store, written by one host at a time for all.
 
-Failure guarded against: all hosts lose power at once, and the request that ended three engines
-before comes again. Hosts keep nothing, so it would end three more. One row is written when a
-request is newly blocked and read by each host that begins to keep it, and that is all it costs.
+Failure guarded against: all hosts lose power at once, and a request that ended three engines before
+arrives again. Hosts have no persistent state, so it would end three more. The cost is one row,
+written when a request is newly blocked and read by each host that becomes the writer.
 """
 
 from collections.abc import Callable
@@ -17,16 +17,16 @@
 from peridotdock.schema.messages import EndpointEnd
 
 BLOCKED_KEY = "blocked"
-# Seconds between two looks for requests that are newly blocked.
+# Interval of the checks for newly blocked requests.
 CHECK_SECONDS = 1.0
-# Newest ends that the row holds, well within the most bytes that a row may have.
+# Newest ends that the row holds, well below the size limit of a row.
 MAX_STORED_ENDS = 200
-# What a row that another version wrote may raise when it is read.
+# Exceptions that decoding a row written by another version may raise.
 DECODE_ERRORS = (KeyError, TypeError, ValueError, msgspec.ValidationError)
 
 
 class BlocklistStore:
-    """Reads and writes the row while ``holds`` tells that this host is the one to keep it."""
+    """Reads and writes the row while ``is_writer`` returns True, for one host at a time."""
 
     def __init__(
         self, ctx: Context, store: Platform, is_writer: Callable[[], bool], blocklist: Blocklist
@@ -40,7 +40,7 @@
         self._stored_contents: frozenset[str] = frozenset()
 
     async def step(self) -> None:
-        """Read the row once; write it anew when a request is newly blocked."""
+        """Read the row once after becoming the writer; write it when a request is newly blocked."""
         if not self._is_writer():
             self._has_read = False
             return
@@ -71,7 +71,7 @@
         tx = Transaction({BLOCKED_KEY: self._version}, {BLOCKED_KEY: value})
         outcome = await commit_surely(self._store, tx)
         if failed(outcome):
-            # Another host wrote, or the store is away: the row is read again at the next step.
+            # Another host wrote, or the store is down: the row is read again at the next step.
             self._has_read = False
             self._ctx.timeline.add("blocked_not_kept", "WARNING", detail=outcome.reason)
             return
@@ -79,9 +79,10 @@
         self._ctx.timeline.add("blocked_kept", detail=f"contents {' '.join(sorted(contents))}")
 
     def _decode(self, value: dict) -> list[EndpointEnd]:
-        """Return the ends in a row, each as old as it is now by the time of day.
+        """Return the ends in a row, with their ages corrected by the time of day.
 
-        Hosts' times of day differ by some seconds, of the ten minutes that an end counts.
+        The clocks of hosts differ by some seconds, which is small against the ten minutes for which
+        an end counts.
         """
         try:
             passed = max(0.0, self._ctx.clock.now().timestamp() - float(value["written_at"]))
--- a/peridotdock/controllers.py
+++ b/peridotdock/controllers.py
@@ -1,7 +1,8 @@
-"""The controller of an engine: the only one to order loads and unloads there.
+"""The controller of an engine: the only host that orders loads and unloads on it.
 
-Each round reads the engine's own list, brings the ledger up to it, takes in what the plan wants,
-writes the row, and only then sends. The platform down means no new order; traffic goes on.
+Each round reads the engine's item list, updates the ledger from it, applies the plan's moves,
+writes the row, and only then sends orders. While the platform is down no new order is sent, and
+requests are served as before.
 """
 
 import asyncio
@@ -30,7 +31,7 @@
 
 @dataclass
 class SentOrder:
-    """An order on its way: which, since when, and the task that waits for its answer."""
+    """An order in flight: its number, when it was sent, and the task that awaits its answer."""
 
     order: int
     sent_at: float
@@ -39,7 +40,7 @@
 
 @dataclass
 class EngineRecord:
-    """What a controller remembers of one engine; the row says all that must last."""
+    """A controller's in-memory state of one engine; durable state is in the ledger row."""
 
     endpoint: Endpoint
     ledger: Ledger
@@ -53,7 +54,7 @@
 
 
 class Controller:
-    """Runs the engines that this host is controller of."""
+    """Controls the engines whose ledger rows name this host."""
 
     def __init__(
         self,
@@ -74,11 +75,14 @@
         self.on_answer: Callable[[], None] = lambda: None
 
     def read_rows(self, rows: dict[str, Row]) -> None:
-        """Take in a scan of all ledger rows."""
+        """Store the result of a scan of all ledger rows."""
         self.rows = {key.removeprefix(ledgers.KEY_PREFIX): row for key, row in rows.items()}
 
     async def reconcile(self, endpoint: Endpoint, chosen: bool, accepted: Accepted) -> None:
-        """Do one round for an engine: hold it, or take it over where that is ours to do."""
+        """Run one round for an engine, or take it over if this host is to control it.
+
+        ``chosen`` tells whether rendezvous hashing assigns the engine to this host.
+        """
         record = self.records.get(endpoint.id)
         if record is None:
             if chosen or self._owns_row(endpoint):
@@ -93,7 +97,7 @@
             await self._sync(record, accepted)
 
     def _has_work(self, record: EngineRecord) -> bool:
-        """Tell whether a round is due: something is under way, or the last look is long ago."""
+        """Tell whether a round is due: work is pending, or the last check is too long ago."""
         if record.endpoint.id in self.moves or record.resend:
             return True
         if any(row.state is not State.HELD for row in record.ledger.reservations):
@@ -101,11 +105,11 @@
         return self._ctx.clock.monotonic() - record.checked_at >= IDLE_CHECK_SECONDS
 
     def _owns_row(self, endpoint: Endpoint) -> bool:
-        """Tell whether the row still names this life.
+        """Tell whether the row still names this incarnation.
 
         Failure guarded against: an outage makes a controller drop its engines, a new host is chosen
-        meanwhile, and then the old one's lease is valid again. The new one waits for it to lapse,
-        which it never does; without this, the engine has no controller for good.
+        meanwhile, and then the old host's lease is valid again. The new host waits for that lease
+        to lapse, which it never does; without this check the engine would stay uncontrolled.
         """
         row = self.rows.get(endpoint.id)
         return row is not None and row.value["controller"] == self._ctx.incarnation
@@ -117,12 +121,12 @@
         self._ctx.timeline.add("controller_left", endpoint=record.endpoint.id, detail=why)
 
     def drop_all(self, why: str) -> None:
-        """Stop being controller of everything."""
+        """Stop controlling all engines."""
         for record in list(self.records.values()):
             self._drop(record, why)
 
     async def _take_over(self, endpoint: Endpoint) -> None:
-        """Become controller, if there is none or the last one's lease has lapsed."""
+        """Become controller if there is none or the previous one's lease has lapsed."""
         if not self._lease.valid(SEND_MARGIN_SECONDS):
             return
         row = self.rows.get(endpoint.id)
@@ -169,7 +173,7 @@
         if outcome.kind is Kind.CONFLICT and len(checks) == 1:
             self._drop(record, "another controller wrote the row")
         elif outcome.kind is not Kind.PLATFORM_DOWN:
-            # Unknown or a copy's row moved: read the row again before anything else is done.
+            # The outcome is unknown, or the row of another copy changed: reload before going on.
             await self._reload(record)
         return False
 
@@ -190,8 +194,9 @@
 
         Failure guarded against: a load order sent earlier arrives after the unload, when the
         bytes have been given to another item; the accelerator is then over-committed. An engine
-        that fences has answered the unload's number and refuses every older one. For one that
-        ignores numbers the bytes wait out the stated longest lateness, and the list is read anew.
+        that fences has answered the unload's number and rejects every older order. For an engine
+        that ignores numbers the bytes stay reserved for ``lateness_seconds``, the longest delay of
+        an order, and the item list is read again.
         """
         now = self._ctx.clock.monotonic()
         for row in ledger.reservations:
@@ -209,7 +214,7 @@
         return ledger
 
     def _renumber(self, record: EngineRecord, ledger: Ledger, report: Report) -> Ledger:
-        """Give new numbers to orders that were refused, or answered without lasting effect."""
+        """Renumber orders that were fenced, or answered without a lasting effect."""
         for row in ledger.reservations:
             if row.state not in ACTIONS:
                 continue
@@ -225,7 +230,7 @@
     def _apply_moves(
         self, record: EngineRecord, ledger: Ledger, accepted: Accepted
     ) -> tuple[Ledger, dict[str, int]]:
-        """Take in the plan's moves, each only as far as the ledger allows it."""
+        """Apply the plan's moves that the ledger allows; return it with the checks to commit."""
         checks: dict[str, int] = {}
         capacity = [row.bytes for row in record.endpoint.accelerators]
         for move in self.moves.get(record.endpoint.id, []):
@@ -248,11 +253,11 @@
     def prove_other_copy(
         self, item: str, endpoint: str, accepted: Accepted
     ) -> dict[str, int] | None:
-        """Return the checks that keep an unload from taking the last ready copy, or None.
+        """Return the checks under which an unload leaves enough ready copies, or None.
 
         Failure guarded against: two controllers each unload one of the last two copies, since each
-        sees the other's. The unload is written only together with a check that the other's row
-        is still the one in which the copy is held; of two such writes one fails.
+        sees the other's. The unload commits only if the version of the other engine's row is still
+        the one that holds the copy, so one of the two commits fails.
         """
         checks: dict[str, int] = {}
         for key in (item, *self._dependents(endpoint, item)):
@@ -263,7 +268,7 @@
         return checks
 
     def _dependents(self, endpoint: str, base: str) -> list[str]:
-        """Return the adapters held on an engine that stand on ``base`` there."""
+        """Return the adapters on an engine that use its copy of ``base``."""
         rows = self.records[endpoint].ledger.reservations if endpoint in self.records else ()
         return [row.item for row in rows if row.item.endswith(f"~{base}")]
 
@@ -290,7 +295,7 @@
         return row is not None and row.state is State.HELD
 
     def _send_all(self, record: EngineRecord, report: Report) -> None:
-        """Send every order that is due: new ones, and those whose effect does not show."""
+        """Send every due order: new ones, and those whose effect the report does not show."""
         now = self._ctx.clock.monotonic()
         for row in record.ledger.reservations:
             action = ACTIONS.get(row.state)
@@ -305,7 +310,7 @@
     def _due(self, record: EngineRecord, row: Reservation, report: Report, now: float) -> bool:
         sent_order = record.sent_orders.get(row.item)
         if sent_order is None or sent_order.order != row.order:
-            # Hosts stop routing to an item that is being unloaded as soon as they hear of it.
+            # Hosts stop routing to an item once they receive the ledger that shows its unload.
             since = record.draining_since.setdefault(row.item, now)
             return row.state is not State.UNLOADING or now - since >= DRAIN_SECONDS
         held = report.items.get(row.item)
@@ -313,7 +318,7 @@
         return not shows and now - sent_order.sent_at >= RESEND_SECONDS
 
     async def _send(self, record: EngineRecord, order: Order) -> None:
-        """Send one order. It was reserved before, so even a late one repeats a known fact."""
+        """Send one order; its bytes are reserved already, so a late arrival is safe."""
         outcome = await self._endpoints.order(record.endpoint.url, order, ORDER_TIMEOUT_SECONDS)
         label = "done" if outcome is None else outcome.kind.value
         self._ctx.metrics.orders.labels(order.action, label).inc()
@@ -330,7 +335,7 @@
 
 
 def holds(ledger: Ledger, item: Item) -> bool:
-    """Tell whether an engine can serve an item by its ledger: an adapter needs its base too."""
+    """Tell whether the ledger shows an item as ready; an adapter also needs its base."""
     wanted = (item.key, item.base) if item.is_adapter else (item.key,)
     rows = [ledger.find(key) for key in wanted]
     return all(row is not None and row.state is State.HELD for row in rows)
--- a/peridotdock/discovery.py
+++ b/peridotdock/discovery.py
@@ -1,4 +1,4 @@
-"""Which addresses a caller should use: the hosts that take work, spread over all callers."""
+"""The addresses that callers should use: the hosts that accept work, spread over all callers."""
 
 import random
 from typing import Any
@@ -7,11 +7,11 @@
 
 
 def order_addresses(members: list[Member], domain: str, rng: random.Random) -> list[Member]:
-    """Return the members in the order to try them.
+    """Return the members in the order in which a caller should try them.
 
-    The caller's own failure domain comes first. Within a domain the order is drawn anew for each
-    answer, so that callers do not all settle on one host; the domains take turns after the first,
-    so that the next address to try does not share the fate of the one that failed.
+    The first address is in the caller's own failure domain. Within a domain the order is random for
+    each answer, so that callers do not all use one host. After the first address the other domains
+    alternate, so that the next one does not share the failure domain of the one that failed.
     """
     shuffled = rng.sample(members, len(members))
     near = [member for member in shuffled if member.fact.domain == domain]
@@ -28,7 +28,7 @@
 def describe_addresses(
     members: list[Member], domain: str, ttl: float, rng: random.Random
 ) -> dict[str, Any]:
-    """Return the answer to ``/v1/addresses``."""
+    """Return the body of the answer to ``/v1/addresses``; ``ttl`` is in seconds."""
     rows = [
         {
             "url": f"http://{member.fact.entry}",
--- a/peridotdock/drafts.py
+++ b/peridotdock/drafts.py
@@ -1,4 +1,4 @@
-"""The draft of a plan: engines as they stand, what is free, and where an item could go."""
+"""The draft of a plan: the engines' state, free memory, and where an item could be loaded."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Copy:
-    """One reservation, as the planner sees it."""
+    """One reservation in the planner's view; ``bytes`` count on each of ``accelerators``."""
 
     item: str
     state: State
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class EngineView:
-    """One engine: its accelerators' bytes, its reservations, and whether it can be used."""
+    """One engine: bytes of each accelerator, reservations, and whether it can be used."""
 
     name: str
     domain: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Move:
-    """A load or unload of an item on an endpoint, and why it is worth it."""
+    """A load or unload of an item on an endpoint, with its reason."""
 
     action: str
     endpoint: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What to do next, most urgent first; ``unmet`` names items below their floor."""
+    """The next moves, most urgent first; ``unmet`` names items below their floor."""
 
     moves: tuple[Move, ...]
     unmet: tuple[str, ...] = ()
@@ -50,7 +50,11 @@
 
 @dataclass
 class Draft:
-    """The state that a plan is worked out on: free bytes and copies after the moves so far."""
+    """The state in which a plan is computed: free bytes and copies after the moves so far.
+
+    ``free`` has the bytes of each accelerator by engine, ``copies`` the copies by item key and
+    engine, and ``loading`` counts the loads in progress on live engines.
+    """
 
     accepted: Accepted
     engines: dict[str, EngineView]
@@ -75,14 +79,14 @@
         self.moves.append(Move("load", engine, item.key, accelerators, reason))
 
     def unload(self, item: str, engine: str, reason: str) -> None:
-        """Add an unload to the plan; its bytes are not free before it is done."""
+        """Add an unload to the plan; its bytes stay reserved until it is done."""
         copy = self.copies[item][engine]
         self.copies[item][engine] = Copy(item, State.UNLOADING, copy.bytes, copy.accelerators)
         self.moves.append(Move("unload", engine, item, copy.accelerators, reason))
 
 
 def make_draft(accepted: Accepted, engines: Iterable[EngineView]) -> Draft:
-    """Return the draft of a plan in which nothing is moved yet."""
+    """Return a draft without moves."""
     by_name = {engine.name: engine for engine in engines}
     free = {name: list(engine.capacity) for name, engine in by_name.items()}
     copies: dict[str, dict[str, Copy]] = {}
@@ -98,7 +102,7 @@
 
 
 def find_copies(draft: Draft, item: Item) -> list[str]:
-    """Return the live engines that have the item, for an adapter with its base beside it."""
+    """Return the live engines that have the item and, for an adapter, also its base."""
     holders = draft.holders(item.key)
     if not item.is_adapter:
         return holders
@@ -106,21 +110,24 @@
 
 
 def allowed_engines(draft: Draft, item: Item) -> list[str]:
-    """Return the live engines that could take the item: an adapter goes where its base is."""
+    """Return the live engines that could load the item: for an adapter, those with its base."""
     names = draft.holders(item.base) if item.is_adapter else list(draft.engines)
     present = draft.copies.get(item.key, {})
     return [name for name in names if draft.engines[name].alive and name not in present]
 
 
 def base_accelerators(draft: Draft, item: Item, engine: str) -> tuple[int, ...] | None:
-    """Return the accelerators an adapter must take, which are those of its base."""
+    """Return the accelerators of an adapter's base, which it must use; None for a model."""
     return draft.copies[item.base][engine].accelerators if item.is_adapter else None
 
 
 def find_accelerators(
     free: Sequence[int], item: Item, wanted: tuple[int, ...] | None
 ) -> tuple[int, ...] | None:
-    """Return accelerators with room: the wanted ones, or those with most free."""
+    """Return accelerators with enough free bytes, or None.
+
+    These are the ``wanted`` ones if given, else those with the most free bytes.
+    """
     if wanted is not None:
         return wanted if all(free[index] >= item.bytes for index in wanted) else None
     order = sorted(range(len(free)), key=lambda index: free[index], reverse=True)[: item.span]
@@ -132,7 +139,10 @@
 def find_victims(
     draft: Draft, item: Item, engine: str, demand: Mapping[str, float]
 ) -> list[str] | None:
-    """Return extra copies whose unloading makes room on an engine; none when room is coming."""
+    """Return the extra copies to unload so that the item fits on an engine, or None.
+
+    The list is empty if it fits once the unloads in progress are done.
+    """
     free = list(draft.free[engine])
     wanted = base_accelerators(draft, item, engine)
     on_engine = [c for copies in draft.copies.values() if (c := copies.get(engine))]
@@ -151,14 +161,17 @@
 
 
 def add_free_bytes(free: list[int], copy: Copy) -> None:
-    """Count a copy's bytes as free."""
+    """Add a copy's bytes to ``free``, the free bytes of each accelerator."""
     for index in copy.accelerators:
         if index < len(free):
             free[index] += copy.bytes
 
 
 def is_removable(draft: Draft, key: str, engine: str) -> bool:
-    """Tell whether a copy can go: enough others are ready, and no adapter needs it as its base."""
+    """Tell whether a copy may be unloaded.
+
+    Enough other copies must be ready, and no adapter may need this one as its base.
+    """
     item = draft.accepted.by_key.get(key)
     if item is None:
         return False
--- a/peridotdock/fact_table.py
+++ b/peridotdock/fact_table.py
@@ -1,7 +1,7 @@
-"""The board: the newest fact of each host on each topic, as this host knows it.
+"""A replicated table of the newest fact of each host on each topic.
 
 Facts are small, versioned and overwritten, so a slow or new peer needs only the newest of each
-and nothing has to be queued. Whoever passes a fact on, it is judged by its origin's version.
+and nothing has to be queued. Whichever peer forwards a fact, only its origin's version counts.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -54,9 +54,9 @@
     "words": WordsFact,
 }
 MAX_ORIGINS = 2000
-# Seconds for which a fact that was written for one link is sent over others as it is: the hub
-# writes to all its links within some milliseconds. Its age is understated by as much, where the
-# shortest limit that ages are held against is two seconds.
+# The bytes encoded for one link are reused for others for this long: the hub writes to all its
+# links within some milliseconds. The age of a fact is understated by as much, which is small
+# against two seconds, the shortest limit that ages are compared with.
 ENCODED_REUSE_SECONDS = 0.05
 Slot = tuple[str, str]
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedFact:
-    """A fact as it was written for a link, and until when that may be sent."""
+    """An encoded fact and the time until which its bytes may be sent (monotonic seconds)."""
 
     known: KnownFact
     until: float
@@ -80,7 +80,7 @@
 
 
 class FactTable:
-    """All facts this host knows."""
+    """All facts that this host knows, by origin and topic."""
 
     def __init__(self, host: str, epoch: int, clock: Clock):
         self.host = host
@@ -97,7 +97,7 @@
         self._listeners.append(listener)
 
     def publish(self, topic: str, fact: Any) -> None:
-        """State a fact of this host."""
+        """Set this host's fact on a topic, under the next version."""
         self._version += 1
         entry = make_entry(self.host, topic, self._epoch, self._version, fact)
         slot = (self.host, topic)
@@ -105,7 +105,10 @@
         self._notify([slot])
 
     def merge(self, entries: Iterable[Entry]) -> list[Slot]:
-        """Take in the entries that are newer than what is known; return their slots."""
+        """Store the entries that are newer than the known ones; return their slots.
+
+        A body that cannot be decoded raises an exception.
+        """
         changed = []
         for entry in entries:
             known = self._decode_newer(entry)
@@ -133,11 +136,11 @@
         return KnownFact(entry, fact, self._clock.monotonic() - entry.age / 1000)
 
     def _raise_epoch(self, entry: Entry) -> None:
-        """State this host's facts anew, above those of an earlier life of the same name.
+        """Republish this host's facts above those of an earlier incarnation of the same name.
 
-        Failure guarded against: the time of day of this life is behind that of the one before, as
-        after a step of the clock or on another machine. Peers then take its facts for older ones
-        and go on naming the address of a machine that is off.
+        Failure guarded against: the time of day of this incarnation is behind that of the previous
+        one, as after a step of the clock or on another machine. Peers then treat its facts as older
+        and keep the address of a machine that is off.
         """
         if entry.epoch <= self._epoch:
             return
@@ -157,11 +160,11 @@
             listener(slots)
 
     def get(self, origin: str, topic: str) -> KnownFact | None:
-        """Return what is known of ``origin`` on ``topic``."""
+        """Return the newest fact of ``origin`` on ``topic``, or None."""
         return self._known.get((origin, topic))
 
     def by_origin(self, topic: str) -> Mapping[str, KnownFact]:
-        """Return what is known on ``topic``, by origin: a view that changes with the board."""
+        """Return the facts on ``topic`` by origin, as a live read-only view."""
         return MappingProxyType(self._topics[topic])
 
     def slots(self) -> list[Slot]:
@@ -169,11 +172,11 @@
         return list(self._known)
 
     def encode_entries(self, slots: Iterable[Slot]) -> dict[Slot, bytes]:
-        """Return the entries in ``slots`` as they stand in an update, each with its age.
+        """Return the entries in ``slots`` encoded for an update, each with its age.
 
         Failure guarded against: a host dies, and a peer that missed its last heartbeat gets it from
-        a third one seconds later. Without the age it would count as just made, and the dead host
-        would be given to callers for a whole heartbeat limit more.
+        a third host seconds later. Without the age the heartbeat would count as new, and callers
+        would be given the dead host for another whole heartbeat limit.
         """
         now = self._clock.monotonic()
         return {slot: self._write(slot, now) for slot in slots if slot in self._known}
@@ -190,7 +193,7 @@
         return 0 if slot[0] == self.host else max(0, int((now - known.at) * 1000))
 
     def forget(self, origin: str) -> None:
-        """Drop all facts of a host that is gone for good."""
+        """Drop all facts of a host that is permanently gone."""
         for slot in [slot for slot in self._known if slot[0] == origin]:
             del self._known[slot]
             del self._topics[slot[1]][origin]
--- a/peridotdock/fleet.py
+++ b/peridotdock/fleet.py
@@ -1,4 +1,4 @@
-"""What this host knows of each endpoint: items, load, own requests, cached prefixes, trust."""
+"""State of each endpoint at this host: items, load, own requests, cached prefixes, trust."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable, Sequence
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class SentRequest:
-    """One request of this host on an endpoint; ``tokens`` is the prefill it brought."""
+    """One request of this host on an endpoint; ``tokens`` is the length of its prefill."""
 
     sent_at: float
     tokens: int
@@ -69,11 +69,11 @@
 
     @property
     def start(self) -> EndpointStart:
-        """Return what tells this start from others of the endpoint."""
+        """Return the current start of the endpoint."""
         return EndpointStart(self.name, self.boot)
 
     def update_load(self, load: EngineLoad, at: float) -> None:
-        """Take in a report that was true at ``at``; what happened up to then is in it."""
+        """Apply a report taken at ``at``, which already counts all events up to then."""
         self.load = load
         self.load_at = at
         while self._sent_since_report and self._sent_since_report[0].sent_at <= at:
@@ -83,11 +83,11 @@
 
     @property
     def net_sent_since_report(self) -> int:
-        """Return the requests this host sent since the report, less those it saw end."""
+        """Return the number of requests sent since the report minus those that ended since."""
         return len(self._sent_since_report) - len(self._ended_since_report)
 
     def note_sent(self, request_id: str, at: float, tokens: int) -> None:
-        """Count a request the moment it is sent, before any report can show it."""
+        """Count a request as soon as it is sent, before a report can include it."""
         run = SentRequest(at, tokens)
         self.own_requests[request_id] = run
         self._in_prefill[request_id] = run
@@ -95,17 +95,17 @@
         self.prefill_tokens += tokens
         self.tokens_since_report += tokens
         if len(self._sent_since_report) > MAX_SENT:
-            # A plain service sends no reports that would say which of these are old news.
+            # A plain service sends no reports that would remove these entries.
             self.tokens_since_report -= self._sent_since_report.popleft().tokens
 
     def note_first_token(self, request_id: str) -> None:
-        """Note that a request's first token came."""
+        """Count a request's prefill as done when its first token arrives."""
         run = self._in_prefill.pop(request_id, None)
         if run is not None:
             self.prefill_tokens -= run.tokens
 
     def note_finished(self, request_id: str, now: float, whole: bool) -> None:
-        """Note that a request ended; whole answers teach how long one takes."""
+        """Count a request as ended; complete answers update the mean duration."""
         self.note_first_token(request_id)
         run = self.own_requests.pop(request_id, None)
         if run is None:
@@ -115,7 +115,7 @@
             self.mean_seconds += MEAN_GAIN * (now - run.sent_at - self.mean_seconds)
 
     def add_cached_blocks(self, blocks: Iterable[int], now: float) -> None:
-        """Take the blocks as cached there since ``now``."""
+        """Record blocks as cached on the endpoint since ``now``."""
         for block in blocks:
             self.cached_blocks[block] = now
             self.cached_blocks.move_to_end(block)
@@ -123,11 +123,11 @@
             self.cached_blocks.popitem(last=False)
 
     def drop_cached_block(self, block: int) -> None:
-        """Take a block as no longer cached there."""
+        """Record a block as no longer cached on the endpoint."""
         self.cached_blocks.pop(block, None)
 
     def count_cached_blocks(self, blocks: Sequence[int], now: float) -> int:
-        """Return how many leading blocks are thought to be cached still."""
+        """Return how many leading blocks are probably still cached."""
         oldest = now - self.hint_seconds
         count = 0
         for block in blocks:
@@ -137,10 +137,11 @@
         return count
 
     def learn_from_hits(self, expected: int, found: int) -> None:
-        """Correct the trust in hints by what a request really hit, both in tokens.
+        """Adjust the trust in cache hints by the tokens that a request really hit.
 
-        Evictions are heard of late, with gaps, or by another host. So a hint is held to last only
-        as long as hints on this endpoint have proved to: hits lengthen that time, misses cut it.
+        Evictions are reported late, with gaps, or to another host. A hint is therefore assumed to
+        last only as long as hints on this endpoint did so far: hits lengthen that time, misses
+        shorten it.
         """
         if expected <= 0:
             return
@@ -149,22 +150,22 @@
         factor = HINT_GROWTH if share > 0.9 else HINT_SHRINK if share < 0.5 else 1.0
         self.hint_seconds = min(HINT_SECONDS, max(MIN_HINT_SECONDS, self.hint_seconds * factor))
         if self.trust < TRUST_GAIN:
-            # The picture has come apart from the engine's cache; start again from evidence.
+            # The hints no longer match the engine's cache; start again from new requests.
             self.cached_blocks.clear()
             self.trust = 0.5
 
     def note_failure(self, now: float) -> None:
-        """Leave the endpoint out for a while, longer each time it fails in a row."""
+        """Exclude the endpoint for 0.5 s, doubled with each consecutive failure up to 8 s."""
         self.failure_count = min(self.failure_count + 1, 5)
         self.excluded_until = now + 0.25 * 2**self.failure_count
 
     def note_rejection(self, outcome: Failure, now: float) -> None:
-        """Give the endpoint the rest that it asked for as it turned a request away."""
+        """Back off for the retry-after with which the endpoint rejected a request."""
         if outcome.retry_after is not None:
             self.backoff_until = max(self.backoff_until, now + outcome.retry_after)
 
     def note_success(self) -> None:
-        """End the series of failures."""
+        """Reset the failure count and end the exclusion."""
         self.failure_count = 0
         self.excluded_until = 0.0
 
@@ -172,18 +173,18 @@
 class Fleet:
     """All endpoints, with an index from item to those that can serve it."""
 
-    def __init__(self, board: FactTable, clock: Clock):
-        self._facts = board
+    def __init__(self, facts: FactTable, clock: Clock):
+        self._facts = facts
         self._clock = clock
         self.states: dict[str, EndpointState] = {}
         self._by_item: dict[str, list[EndpointState]] = {}
         self._by_name: dict[str, dict[str, None]] = {}
         self._unloading: dict[str, frozenset[tuple[str, str]]] = {}
         self._leaving: dict[str, set[str]] = {}
-        board.listen(self._on_changed)
+        facts.listen(self._on_changed)
 
     def apply_manifest(self, accepted: Accepted) -> None:
-        """Take the endpoints of a new manifest; those it drops get no new work."""
+        """Replace the endpoints by those of a new manifest; removed ones get no new requests."""
         old = self.states
         self.states = {}
         for name, row in accepted.endpoints.items():
@@ -198,19 +199,19 @@
         self._index()
 
     def holders(self, item: str) -> list[EndpointState]:
-        """Return the endpoints whose own word is that they can serve ``item``."""
+        """Return the endpoints that report that they can serve ``item``."""
         return self._by_item.get(item, [])
 
     def has_ended(self, start: EndpointStart, broke_off: float) -> bool:
-        """Tell whether a start of an endpoint has ended: it is down, or another one has begun.
+        """Tell whether a start of an endpoint has ended: it is down, or a newer one has begun.
 
-        ``broke_off`` is not needed: the host that watches the endpoint says so within a second.
+        ``broke_off`` is unused: the host that watches the endpoint reports an end within a second.
         """
         state = self.states.get(start.endpoint)
         return state is None or state.down or state.start != start
 
     def find_servable(self, item: str) -> str:
-        """Return ``item``, or another version of it while no endpoint can serve that one yet."""
+        """Return ``item``, or another version of it while no endpoint can serve ``item`` yet."""
         if item in self._by_item:
             return item
         return next(iter(self._by_name.get(name_of(item), ())), item)
@@ -269,7 +270,7 @@
             state.leaving = name in leaving
 
     def _apply_ledger(self, origin: str, fact: LedgerFact) -> bool:
-        """Note what is being unloaded: it gets no new work, though the engine still has it."""
+        """Record items that are being unloaded: they get no new requests although still loaded."""
         found = frozenset(
             (name, row.item)
             for name, rows in fact.rows.items()
--- a/peridotdock/frames.py
+++ b/peridotdock/frames.py
@@ -1,4 +1,4 @@
-"""Frames between hosts: CBOR maps checked against the generated classes."""
+"""Encodes and decodes frames between hosts: CBOR maps checked against generated classes."""
 
 import hashlib
 import hmac
@@ -31,11 +31,11 @@
 
 MAX_FRAME_BYTES = 20 * 1024 * 1024
 MAX_ENTRIES = 4096
-# Bytes of a fact's body from which on it is deflated, and the level. The names in large ones recur,
-# and they are passed on as they are over all links. In smaller ones names hardly recur.
+# Bodies of facts from this size are deflated, at this level. Names repeat in large bodies, which
+# are forwarded unchanged over all links; in smaller ones names hardly repeat.
 DEFLATE_MIN_BYTES = 512
 DEFLATE_LEVEL = 3
-# Most bytes that a body may have when it is taken up.
+# Limit on the size of an inflated body.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 FRAME_TYPES: dict[str, type] = {
     "hello": Hello,
@@ -53,7 +53,8 @@
     "permit_wanted": PermitWanted,
     "permit_given": PermitGiven,
 }
-# An update up to the array of its facts, and from there to its stamp: a CBOR map of three pairs.
+# The encoded parts of an update before its array of facts and after it, up to the stamp's value: a
+# CBOR map of three pairs.
 UPDATE_HEAD = b"\xa3" + b"".join(map(cbor2.dumps, ("kind", "update", "entries")))
 UPDATE_STAMP = cbor2.dumps("stamp")
 Frame = (
@@ -85,7 +86,7 @@
 
 
 def inflate(raw: bytes) -> bytes:
-    """Return the bytes that were deflated; raises ValueError for what can't be read.
+    """Return inflated bytes; raises ValueError if they are malformed or above the size limit.
 
     Failure guarded against: a few bytes that inflate to more than the host's memory.
     """
@@ -93,14 +94,14 @@
     try:
         found = inflater.decompress(raw, MAX_BODY_BYTES)
     except zlib.error as exc:
-        raise ValueError(f"deflated: {exc}") from exc
+        raise ValueError(f"deflated data is malformed: {exc}") from exc
     if not inflater.eof:
-        raise ValueError("deflated: too large, or cut short")
+        raise ValueError("deflated data is truncated or above the size limit")
     return found
 
 
 def make_entry(origin: str, topic: str, epoch: int, version: int, fact: Any) -> Entry:
-    """Return a fact as it is told: a large body deflated."""
+    """Return the entry of a fact, with a large body deflated."""
     body = cbor2.dumps(msgspec.to_builtins(fact, builtin_types=(bytes,)))
     deflated = len(body) >= DEFLATE_MIN_BYTES
     if deflated:
@@ -109,12 +110,12 @@
 
 
 def read_body(entry: Entry) -> Any:
-    """Return what the body of a fact says; raises ValueError for one that can't be read."""
+    """Return the decoded body of an entry; raises ValueError if it can't be inflated or decoded."""
     return cbor2.loads(inflate(entry.body) if entry.deflated else entry.body)
 
 
 def encode_entry(entry: Entry, age: int) -> bytes:
-    """Return the bytes of a fact as it stands in an update, with its age in milliseconds."""
+    """Return an entry encoded for an update, with the age of its fact in milliseconds."""
     fields = {
         "origin": entry.origin,
         "topic": entry.topic,
@@ -129,29 +130,29 @@
 
 
 def deflate_rows(frame: Rows) -> Rows:
-    """Return a frame with its large values deflated: a configuration shrinks to an eighth."""
+    """Return a frame with its large values deflated; a configuration shrinks to an eighth."""
     large = [key for key, raw in frame.values.items() if raw and len(raw) >= DEFLATE_MIN_BYTES]
     values = {key: deflate(raw) if key in large else raw for key, raw in frame.values.items()}
     return replace(frame, values=values, deflated=large)
 
 
 def inflate_rows(frame: Rows) -> dict[str, bytes | None]:
-    """Return the values of a frame; raises ValueError for what can't be read."""
+    """Return the inflated values of a frame; raises ValueError if one can't be inflated."""
     large = set(frame.deflated)
     return {key: inflate(raw) if raw and key in large else raw for key, raw in frame.values.items()}
 
 
 def encode_update(entries: Sequence[bytes], stamp: int) -> bytes:
-    """Return the bytes of an update whose facts are written already.
+    """Return the bytes of an update made of encoded entries.
 
-    The hub sends the same facts over all its links, so each is written once.
+    The hub sends the same facts over all its links, so each is encoded only once.
     """
     head = UPDATE_HEAD + _array_head(len(entries))
     return b"".join((head, *entries, UPDATE_STAMP, cbor2.dumps(stamp)))
 
 
 def _array_head(count: int) -> bytes:
-    """Return how CBOR begins an array (major type 4) of up to 65,535 elements."""
+    """Return the CBOR head of an array (major type 4) of up to 65,535 elements."""
     if count < 24:
         return bytes((0x80 | count,))
     if count < 256:
@@ -160,10 +161,10 @@
 
 
 def decode(raw: Any) -> Frame | Failure:
-    """Read a frame; a bad one is a failure with the reason, never an exception.
+    """Decode a frame; a malformed one gives a failure with the reason, never an exception.
 
-    Fields that this version does not know are passed over; a kind that it does not know is not
-    an error of the peer's, but nothing can be done with it either.
+    Unknown fields are ignored. A frame of an unknown kind is a failure as well: it may come from a
+    newer version, but can't be handled.
     """
     if not isinstance(raw, bytes):
         return Failure(Kind.BAD_REQUEST, "a text frame")
@@ -181,7 +182,10 @@
 
 
 def make_proof(key: str, nonce: bytes, host: str) -> bytes:
-    """Return the proof that ``host`` knows the cluster key, for the other side's ``nonce``."""
+    """Return the HMAC-SHA-256 that proves that ``host`` knows the cluster key.
+
+    ``nonce`` is the one sent by the other side.
+    """
     return hmac.digest(key.encode(), nonce + host.encode(), hashlib.sha256)
 
 
--- a/peridotdock/handshake.py
+++ b/peridotdock/handshake.py
@@ -1,4 +1,4 @@
-"""How two hosts prove to each other that they know the cluster key, when a link begins."""
+"""Mutual authentication of two hosts by the cluster key when a link is opened."""
 
 import os
 
@@ -13,7 +13,11 @@
 
 
 async def perform_handshake(ctx: Context, conn: Connection, dialled: bool) -> Hello | Failure:
-    """Prove the cluster key to each other: nonce, nonce with proof, proof."""
+    """Authenticate both ends and return the peer's hello, or a failure.
+
+    The side that accepted the link sends a nonce, the side that dialled answers with a nonce and
+    its proof, and the first side sends its proof.
+    """
     nonce = os.urandom(NONCE_BYTES)
     if not dialled:
         await conn.send(encode(_hello(ctx, nonce, b"")))
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -1,4 +1,4 @@
-"""One entry host: its parts, and the work it repeats."""
+"""One entry host: its components and periodic jobs."""
 
 import asyncio
 from functools import partial
@@ -38,7 +38,7 @@
 
 
 class Host:
-    """All parts of a host but the HTTP entry."""
+    """All components of a host except the HTTP entry."""
 
     def __init__(self, ctx: Context, platform: Platform | None = None):
         cfg, clock = ctx.cfg, ctx.clock
@@ -79,7 +79,7 @@
         self.facts.listen(self._changed)
 
     async def start(self, entry_address: str) -> None:
-        """Open the mesh and begin the repeated work."""
+        """Open the mesh and start the periodic jobs; ``entry_address`` is published to callers."""
         await self.mesh.start()
         addresses = {"entry": entry_address, "peer": self.mesh.address}
         self.membership.own = HostFact(**{**vars(self.membership.own), **addresses})
@@ -101,11 +101,11 @@
         every(lambda: claims.SWEEP_SECONDS, self._sweep_claims, "claims")
 
     async def stop(self) -> None:
-        """Hand over the roles and leave the mesh."""
+        """Give up the roles, publish that this host is gone, and close all connections."""
         await self.jobs.stop()
         for task in self._tasks:
             task.cancel()
-        self.controller.drop_all("host stops")
+        self.controller.drop_all("host is stopping")
         self.membership.set_state("gone")
         await self.ctx.clock.sleep(0.05)
         await self.lease.release(self.platform)
@@ -128,8 +128,8 @@
     async def _refresh_hosts(self) -> None:
         cfg = self.ctx.cfg
         members = self.membership.members()
-        # Silent hosts too: two hosts that lost each other for longer than it takes to call one
-        # dead would otherwise never dial again, though both live.
+        # Silent hosts are included: two live hosts that were cut off from each other for longer
+        # than the heartbeat limit would otherwise never dial each other again.
         found = {n: m.fact.peer for n, m in members.items() if m.fact.state != "gone"}
         found.pop(cfg.host_id, None)
         self.mesh.connect_to(found)
@@ -146,7 +146,7 @@
         self.watcher.listed_leaving = {h.id for h in listed if h.leaving and h.id not in members}
 
     async def _register(self) -> None:
-        """Put this host on the platform's list, once for each state, as each is a write."""
+        """Register this host on the platform's list, once per state, as each costs a write."""
         wanted = self.membership.own.state in ("leaving", "gone")
         if self._registered_leaving is wanted:
             return
@@ -181,7 +181,7 @@
                 self._poll_due.set()
 
     def on_head(self, head: HeadsFact) -> None:
-        """Take note of a head; a generation that is not newer is passed over, whoever tells it."""
+        """Fetch the manifest of a head, unless its generation is not newer than the known ones."""
         newest = max(
             self.accepted.generation if self.accepted else 0,
             self._wanted_head.generation if self._wanted_head else 0,
@@ -194,7 +194,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _fetch(self) -> None:
-        """Fetch the newest wanted manifest, from the store or from a peer, and put it in force."""
+        """Fetch the newest wanted manifest from the store or a peer, and put it in force."""
         async with self._fetching:
             head = self._wanted_head
             current = self.accepted
@@ -205,13 +205,13 @@
                 raw = await self.mesh.fetch(head.digest)
             found = manifests.accept(head.generation, raw) if raw else None
             if found is None or found.digest != head.digest:
-                # Wanted again at the next poll or word of a peer.
+                # The next poll or a peer's heads fact triggers another fetch.
                 self._wanted_head = None
                 return
             self.put_in_force(found)
 
     def put_in_force(self, accepted: Accepted) -> None:
-        """Serve by this manifest from now on. Never by an older one again."""
+        """Serve by this manifest from now on; an older generation is ignored."""
         if self.accepted is not None and accepted.generation <= self.accepted.generation:
             return
         self.accepted = accepted
@@ -237,7 +237,7 @@
     # Roles
 
     async def _poll(self) -> None:
-        """Read the heads and what the roles of this host need, in few calls."""
+        """Read the heads and the rows that this host's roles need, then act on them."""
         await self._read_platform()
         if self.accepted is None or not self.lease_table.loaded:
             return
@@ -266,7 +266,10 @@
             self.controller.read_rows(ledger_rows)
 
     async def _read_ledgers(self) -> dict[str, Row] | None:
-        """Read the ledger rows: all of them where a plan is made or copies are to be proved."""
+        """Scan the ledger rows if this host plans or has moves, else only every few polls.
+
+        The planner needs all rows, and an unload needs the rows that prove its other copies.
+        """
         self._polls += 1
         planning = self.planner.holder in ("", self.ctx.incarnation)
         if not (planning or self.controller.moves or self._polls % POLLS_PER_SCAN == 1):
@@ -310,11 +313,11 @@
         await self.planner.update_plan(self.accepted, self.controller.rows, down, demand, chosen)
 
     def _runs_trials(self) -> bool:
-        """Tell whether this host is the one to try what may be blocked for nothing."""
+        """Tell whether this host is the one that tries requests that may be blocked wrongly."""
         return self.membership.live()[:1] == [self.ctx.cfg.host_id]
 
     def _is_planner(self) -> bool:
-        """Tell whether this host is the planner, and may write for all."""
+        """Tell whether this host is the planner with a valid lease, and may write for all hosts."""
         return self.planner.holder == self.ctx.incarnation and self.lease.valid()
 
     async def _publish_ends(self) -> None:
@@ -329,7 +332,7 @@
             await self.watcher.read_all(self.accepted, self.membership.live())
 
     async def _publish_demand(self) -> None:
-        """Tell the others what was asked of this host, and lend what it does not need."""
+        """Publish this host's demand and usage, and lend the caller limits it does not need."""
         now = self.ctx.clock.monotonic()
         others = {}
         members = self.membership.members()
--- a/peridotdock/items.py
+++ b/peridotdock/items.py
@@ -1,4 +1,4 @@
-"""What can be loaded on an engine: one model or adapter at one version."""
+"""Items: what can be loaded on an engine, which is a model or adapter at one version."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,10 @@
 
 @dataclass(frozen=True)
 class Item:
-    """A model or adapter at one version, as the ledger and the engines name it.
+    """A model or adapter at one version, under the key that ledgers and engines use.
 
-    The key of an adapter names its base too: on another base it is another thing in memory.
+    The key of an adapter includes its base, since on another base it takes separate memory.
+    ``bytes`` count on each of ``span`` accelerators.
     """
 
     key: str
@@ -22,7 +23,7 @@
 
     @property
     def is_adapter(self) -> bool:
-        """Tell whether it stands on a base."""
+        """Tell whether the item is an adapter, which needs its base."""
         return bool(self.base)
 
 
@@ -39,5 +40,5 @@
 
 
 def name_of(key: str) -> str:
-    """Return the name that callers use for the item called ``key``."""
+    """Return the name that callers use for the item with a key."""
     return key.split("@", 1)[0]
--- a/peridotdock/leases.py
+++ b/peridotdock/leases.py
@@ -1,8 +1,8 @@
-"""Host leases: one row for each host, renewed by it, judged by others on their own clocks.
+"""Host leases: one row for each host, renewed by it and judged by others on their own clocks.
 
-All roles of a host hang on its one lease, so renewing costs one write, however many endpoints
-the host is controller of. No clocks are compared: a holder counts its time from before it sent the
-renewal, and another host counts from when it first saw the row's version.
+All roles of a host depend on its one lease, so a renewal costs one write however many endpoints
+the host controls. No clocks are compared: a holder counts from before it sent the renewal, and
+another host counts from when it first saw the row's version.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class SeenLease:
-    """A version of a lease row and when it was first seen here (monotonic seconds)."""
+    """A version of a lease row and when this host first saw it (monotonic seconds)."""
 
     incarnation: str
     version: int
@@ -37,11 +37,11 @@
         self._until = float("-inf")
 
     def valid(self, margin: float = 0.0) -> bool:
-        """Tell whether this host may act on its roles for ``margin`` seconds more."""
+        """Tell whether the lease is valid for at least ``margin`` more seconds."""
         return self._clock.monotonic() + margin < self._until
 
     async def renew(self, platform: Platform) -> Failure | None:
-        """Renew the lease; the time counts from before the request is sent."""
+        """Renew the lease, counted from before the request is sent; return a failure, or None."""
         began = self._clock.monotonic()
         if self._version is None:
             rows = await platform.read([KEY_PREFIX + self._host])
@@ -60,7 +60,7 @@
         return None
 
     async def release(self, platform: Platform) -> Failure | None:
-        """End the lease, so that others need not wait for it to lapse."""
+        """Delete the lease row, so that others need not wait for it to lapse."""
         self._until = float("-inf")
         if self._version is None:
             return Failure(Kind.CONFLICT, "no lease")
@@ -80,7 +80,7 @@
         self.loaded = False
 
     def update(self, rows: dict[str, Row]) -> None:
-        """Take in a scan of all lease rows."""
+        """Apply the result of a scan of all lease rows."""
         now = self._clock.monotonic()
         seen = {}
         for key, row in rows.items():
@@ -91,15 +91,15 @@
         self.loaded = True
 
     def count_valid(self) -> int:
-        """Return how many leases have not lapsed."""
+        """Return the number of leases that have not lapsed."""
         now = self._clock.monotonic()
         return sum(1 for lease in self._seen.values() if now - lease.first_seen_at <= self._lapse)
 
     def prove_lapsed(self, incarnation: str) -> dict[str, int] | None:
-        """Return the check that proves a life's lease lapsed, or None while it has not.
+        """Return the check that an incarnation's lease has lapsed, or None while it has not.
 
         The check goes into the transaction that takes over. Failure guarded against: the holder
-        renews between our look and our write; its row then has another version, or is there
+        renews between this read and that write; its row then has another version, or exists
         again, and the transaction fails.
         """
         if not self.loaded:
@@ -111,5 +111,5 @@
             return {key: lease.version} if now - lease.first_seen_at > self._lapse else None
         host = incarnation.rsplit("-", 1)[0]
         lease = self._seen.get(KEY_PREFIX + host)
-        # A row of another life of the same host, or no row at all: this life is over.
+        # The row is of another incarnation of the same host, or missing: this one has ended.
         return {KEY_PREFIX + host: lease.version} if lease else {KEY_PREFIX + host: NO_ROW_VERSION}
--- a/peridotdock/ledger.py
+++ b/peridotdock/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of one engine's memory: what is reserved, and what an order or a report changes.
+"""The ledger of one engine's memory: its reservations, and how orders and reports change them.
 
-Pure functions over frozen data. A byte is charged from before the order that may take it is sent,
-until there is positive evidence that it is free; a time-out is no evidence. Every change is
-written to the table with the row's version checked, and nothing is sent before it is written.
+Pure functions over frozen data. A byte is reserved from before the order that may use it is sent
+until there is positive evidence that it is free; a timeout is no evidence. Every change is written
+to the table with the row's version checked, and no order is sent before it is written.
 """
 
 from collections.abc import Mapping, Sequence
@@ -19,7 +19,7 @@
 
 
 class State(StrEnum):
-    """Where a reservation stands."""
+    """The state of a reservation."""
 
     LOADING = "loading"
     HELD = "held"
@@ -28,16 +28,16 @@
 
 
 class Presence(StrEnum):
-    """What a fresh report of the engine shows of an item."""
+    """How an item appears in the newest report of the engine."""
 
     READY = "ready"
     PARTIAL = "partial"
     GONE = "gone"
 
 
-# An engine's own list is believed over the ledger, but bytes are freed by no single sight:
-# UNLOADING ends in QUARANTINE, and only :func:`release` ends that. An item that comes back in
-# quarantine was loaded by a late order; it is unloaded again.
+# An engine's own list overrides the ledger, but no single report frees bytes: UNLOADING ends in
+# QUARANTINE, and only :func:`release` ends that. An item that reappears in quarantine was loaded by
+# a late order; it is unloaded again.
 TRANSITIONS: dict[tuple[State, Presence], State] = {
     (State.LOADING, Presence.READY): State.HELD,
     (State.LOADING, Presence.PARTIAL): State.LOADING,
@@ -52,14 +52,15 @@
     (State.QUARANTINE, Presence.PARTIAL): State.UNLOADING,
     (State.QUARANTINE, Presence.GONE): State.QUARANTINE,
 }
-# What the engine already answered is undone: only an order with a new number is carried out.
+# Transitions after which an order that the engine has answered must be repeated. The engine carries
+# it out only under a new number.
 NEEDS_NEW_ORDER = frozenset({(State.HELD, State.LOADING), (State.QUARANTINE, State.UNLOADING)})
 COPY_STATES = frozenset({State.LOADING, State.HELD})
 
 
 @dataclass(frozen=True)
 class Reservation:
-    """Bytes on each of ``places`` (accelerators) for one item, and the order it stands on."""
+    """Bytes reserved for an item on each of ``places`` (accelerators), and its order's number."""
 
     item: str
     state: State
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True)
 class Ledger:
-    """The row of one engine; ``term`` grows with each controller, ``order`` with each order."""
+    """The row of one engine; ``term`` counts its controllers, ``order`` its orders."""
 
     endpoint: str
     controller: str = ""
@@ -80,11 +81,11 @@
     reservations: tuple[Reservation, ...] = ()
 
     def find(self, item: str) -> Reservation | None:
-        """Return the reservation of an item."""
+        """Return the reservation of an item, or None."""
         return next((row for row in self.reservations if row.item == item), None)
 
     def used(self, count: int) -> list[int]:
-        """Return the bytes charged on each of ``count`` accelerators."""
+        """Return the bytes reserved on each of ``count`` accelerators."""
         used = [0] * count
         for row in self.reservations:
             for index in row.places:
@@ -110,8 +111,9 @@
 def take_over(ledger: Ledger, controller: str) -> Ledger:
     """Return the ledger under a new controller.
 
-    Whatever the old one had under way stays charged, since its orders may still arrive. What is in
-    quarantine stays there, and the new controller waits out the whole bound on its own clock.
+    The previous controller's pending loads and unloads stay reserved, since its orders may still
+    arrive. Items in quarantine stay there, and the new controller waits for the whole bound on its
+    own clock.
     """
     return replace(ledger, controller=controller, term=ledger.term + 1)
 
@@ -119,7 +121,7 @@
 def reserve(
     ledger: Ledger, capacity: Sequence[int], item: str, size: int, places: Sequence[int]
 ) -> Ledger | Failure:
-    """Reserve room for a load, or say why there is none."""
+    """Reserve memory for a load, or return a failure with the reason why there is none."""
     if ledger.find(item) is not None:
         return Failure(Kind.CONFLICT, f"{item} is there already")
     if not places or len(set(places)) != len(places):
@@ -134,7 +136,7 @@
 
 
 def begin_unload(ledger: Ledger, item: str) -> Ledger | Failure:
-    """Begin to unload an item; its bytes stay charged."""
+    """Mark an item as unloading; its bytes stay reserved."""
     row = ledger.find(item)
     if row is None or row.state not in COPY_STATES:
         return Failure(Kind.CONFLICT, f"{item} is not held")
@@ -142,7 +144,7 @@
 
 
 def renumber(ledger: Ledger, item: str, state: State) -> Ledger:
-    """Give an item's order a new number: an engine that fences takes no older one any more."""
+    """Give an item's order a new number, so that an engine that fences rejects older ones."""
     order = ledger.order + 1
     rows = tuple(
         replace(row, state=state, order=order) if row.item == item else row
@@ -152,7 +154,7 @@
 
 
 def presence_of(report: Report, item: str) -> Presence:
-    """Return what a report shows of an item."""
+    """Return how an item appears in a report."""
     held = report.items.get(item)
     if held is None:
         return Presence.GONE
@@ -160,10 +162,10 @@
 
 
 def observe(ledger: Ledger, report: Report) -> Ledger:
-    """Return the ledger after a fresh report.
+    """Return the ledger updated by a new report.
 
-    An item that nobody ordered is charged first, even where it does not fit; the plan then says
-    whether it stays. A new boot of the engine has forgotten its fence.
+    An item without an order is reserved first, even if it does not fit; the plan then decides
+    whether it stays. The report's boot is stored, as a restarted engine has lost its fence.
     """
     for row in ledger.reservations:
         state = TRANSITIONS[(row.state, presence_of(report, row.item))]
@@ -191,7 +193,7 @@
 
 
 def release(ledger: Ledger, item: str, report: Report) -> Ledger | Failure:
-    """Free an item's bytes: it is in quarantine, and a report read after that shows it gone."""
+    """Free the bytes of an item in quarantine that a later report shows as gone."""
     row = ledger.find(item)
     if row is None or row.state is not State.QUARANTINE:
         return Failure(Kind.CONFLICT, f"{item} is not in quarantine")
--- a/peridotdock/links.py
+++ b/peridotdock/links.py
@@ -1,4 +1,4 @@
-"""One link to another host: what waits to be sent over it, the sending, its heartbeat."""
+"""One link to another host: its send queue, sending, and heartbeat."""
 
 import asyncio
 import math
@@ -12,21 +12,22 @@
 from peridotdock.frames import Frame, encode
 from peridotdock.schema.messages import Hello, Ping, Rows
 
-# Seconds between two words on a link that is otherwise silent, and after how many such periods the
-# other end counts as lost: well before its hosts' heartbeats count as missing, at four seconds.
+# Interval of pings on an otherwise silent link, and the number of silent intervals after which the
+# peer counts as lost: well before its hosts' heartbeats count as missing, at four seconds.
 PING_SECONDS = 0.3
 SILENT_PERIODS = 4
 SILENT_SECONDS = SILENT_PERIODS * PING_SECONDS
 
-# Seconds for which rows that were written for one link are sent over others as they are. Their age
-# is overstated by as much, so that nobody takes an old view for a new one.
+# Rows encoded for one link are reused for other links for this long. Their age is overstated by as
+# much, so that an old view never counts as a new one.
 ROWS_REUSE_SECONDS = 0.02
 
 
 class QueuedRows:
-    """Rows of the store that wait on links, written once for all links that are written to now.
+    """Store rows queued on links, encoded once for all links that are flushed together.
 
-    The host that reads the store tells of each table several times a second, over all links.
+    The host that reads the store sends each table several times a second, over all links. ``since``
+    is when the rows were queued (monotonic seconds).
     """
 
     def __init__(self, frame: Rows, since: float):
@@ -36,7 +37,7 @@
         self._until = float("-inf")
 
     def encoded(self, now: float) -> bytes:
-        """Return the frame; what the rows waited here counts to their age."""
+        """Return the encoded frame, with the time in the queue added to the age of the rows."""
         if now > self._until:
             self._until = now + ROWS_REUSE_SECONDS
             waited = math.ceil((self._until - self._since) * 1000)
@@ -71,48 +72,52 @@
         self.echo_own_host = True
 
     def should_send(self, slot: Slot) -> bool:
-        """Tell whether to send a fact: not the peer's own, but for its name's earlier life."""
+        """Tell whether to send a fact over this link.
+
+        A peer's own facts are not sent back, except once its host fact, which may be that of an
+        earlier incarnation.
+        """
         origin, topic = slot
         return origin != self.peer.host or (self.echo_own_host and topic == "host")
 
 
 class LinkSender:
-    """Sends over links, and sees to it that no silent peer is waited for."""
+    """Sends over links, and aborts links whose peer is silent or accepts no data."""
 
     def __init__(self, ctx: Context):
         self._ctx = ctx
         self._bytes_out = ctx.metrics.peer_bytes.labels("out")
 
     async def run_heartbeat(self, link: Link) -> None:
-        """Say a word when the link is otherwise silent, and end it when the peer is."""
+        """Ping while the link is otherwise silent, and abort it once the peer is silent."""
         sequence = 0
         while True:
             await self._ctx.clock.sleep(PING_SECONDS)
             sequence += 1
             now = self._ctx.clock.monotonic()
             if now - link.received_at > SILENT_SECONDS:
-                # Abort, not close: a closing handshake would wait on the silent connection.
+                # Abort instead of close: a closing handshake would wait for the silent peer.
                 self._ctx.timeline.add("link_silent", "WARNING", detail=link.peer.host)
                 link.conn.transport.abort()
                 return
             if link.send_started_at is not None and now - link.send_started_at > SILENT_SECONDS:
-                # The peer takes nothing any more.
+                # The peer no longer reads from the connection.
                 link.conn.transport.abort()
                 return
             if link.send_started_at is None and now - link.sent_at >= PING_SECONDS:
                 await self.send(link, Ping("ping", sequence, self._ctx.timeline.clock.tick()))
 
     async def send(self, link: Link, frame: Frame) -> None:
-        """Send a frame of the kind that is seldom sent; a peer that takes nothing is cut off."""
+        """Send an infrequent frame; a peer that does not accept it in time is disconnected."""
         try:
             async with asyncio.timeout(SILENT_SECONDS):
                 await self.send_raw(link, encode(frame))
         except TimeoutError:
-            # Without this, the heartbeat would wait on the peer too.
+            # Otherwise the heartbeat, which also sends, would block on the peer.
             link.conn.transport.abort()
 
     async def send_raw(self, link: Link, raw: bytes) -> None:
-        """Send bytes; the heartbeat sees to it that this doesn't wait for good.
+        """Send bytes; the heartbeat aborts the link if this blocks for too long.
 
         A timer for each send took a twentieth of the hub's processor time.
         """
--- a/peridotdock/manifest.py
+++ b/peridotdock/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: checks, canonical form, digest, differences and the indexes made from it."""
+"""The manifest: validation, canonical form, digest, differences and indexes."""
 
 import hashlib
 import json
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class CheckResult:
-    """Outcome of a check: a manifest, or every error in it."""
+    """Outcome of a check: the manifest, or all errors in it."""
 
     manifest: Manifest | None
     document: dict[str, Any]
@@ -27,7 +27,7 @@
 
 
 def canonical(document: dict[str, Any]) -> bytes:
-    """Return the one form of ``document`` that is digested and stored."""
+    """Return the canonical form of ``document``, which is digested and stored."""
     return json.dumps(document, sort_keys=True, separators=(",", ":")).encode()
 
 
@@ -37,7 +37,7 @@
 
 
 def check(raw: bytes) -> CheckResult:
-    """Check the bytes of a manifest against the schema, then its references and its floor."""
+    """Check the bytes of a manifest against the schema, then its unique names and references."""
     if len(raw) > MAX_BYTES:
         return CheckResult(None, {}, (f"$: larger than {MAX_BYTES} bytes",))
     try:
@@ -55,7 +55,7 @@
 
 
 def find_duplicates(manifest: Manifest) -> list[str]:
-    """Return an error for each name that stands twice where it must be unique."""
+    """Return an error for each duplicate of a name that must be unique."""
     names = {section: [row.id for row in getattr(manifest, section)] for section in SECTIONS}
     names["models and adapters"] = names.pop("models") + names.pop("adapters")
     names["caller tokens"] = [row.token_sha256 for row in manifest.callers]
@@ -68,7 +68,10 @@
 
 
 def find_dangling_references(manifest: Manifest) -> list[str]:
-    """Return an error for each reference to something that is not there."""
+    """Return an error for each reference to a missing model or service endpoint.
+
+    An engine without accelerators is an error too.
+    """
     models = {row.id for row in manifest.models}
     kinds = {row.id: row.kind for row in manifest.endpoints}
     errors = [
@@ -89,7 +92,7 @@
 
 
 def diff(old: dict[str, Any], new: dict[str, Any]) -> dict[str, Any]:
-    """Return what turns ``old`` into ``new``: rows set and removed by section, other fields."""
+    """Return the changes from ``old`` to ``new``: rows set and removed by section, other fields."""
     changes: dict[str, Any] = {"set": {}, "removed": {}, "fields": {}}
     for section in SECTIONS:
         before = {row["id"]: row for row in old.get(section, [])}
@@ -110,7 +113,7 @@
 
 
 def apply_diff(old: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """Return the document that ``changes`` make of ``old``; the caller checks its digest."""
+    """Apply ``changes`` to ``old``; the result's digest must be checked by the calling code."""
     new = dict(old)
     for section in SECTIONS:
         rows = {row["id"]: row for row in old.get(section, [])}
@@ -128,7 +131,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """A manifest in force: its generation, its digest and the indexes made from it."""
+    """A manifest in force, with its generation, digest and indexes."""
 
     generation: int
     digest: str
@@ -137,14 +140,14 @@
 
     @cached_property
     def items(self) -> dict[str, Item]:
-        """Return the items in force by the name that callers use."""
+        """Return the models and adapters by the name that callers use."""
         models = {row.id: make_model(row) for row in self.manifest.models}
         adapters = {row.id: make_adapter(row, models[row.base]) for row in self.manifest.adapters}
         return models | adapters
 
     @cached_property
     def by_key(self) -> dict[str, Item]:
-        """Return the items in force by key."""
+        """Return the models and adapters by item key."""
         return {item.key: item for item in self.items.values()}
 
     @cached_property
@@ -169,10 +172,10 @@
 
 
 def accept(generation: int, raw: bytes) -> Accepted | None:
-    """Build the accepted form of a stored body; None when this version cannot read it.
+    """Build the accepted form of a stored body; None if this version cannot decode it.
 
-    The schema was checked when it was published, and the digest proves that this is that body.
-    Checking it again on every host would hold up its streams.
+    The schema was checked at publication, and the digest identifies the body. Checking it again on
+    every host would delay the host's streams.
     """
     try:
         document = json.loads(raw)
--- a/peridotdock/membership.py
+++ b/peridotdock/membership.py
@@ -1,8 +1,8 @@
-"""Which hosts live: the platform's lagging list, heartbeats on the board, and stop notices.
+"""Which hosts are alive, judged by heartbeats, stop notices and links.
 
-A host is judged by its own newest word and by how long ago, on this host's clock, its heartbeat
-last changed. The platform's list only adds addresses to try; it never overrules a heartbeat. Where
-hosts tell each other of their links, these go before heartbeats.
+A host is judged by its own newest fact and by how long ago, on this host's clock, its heartbeat
+last changed. The platform's list lags and only adds addresses to try; it never overrules a
+heartbeat. Where hosts publish their links, these take precedence over heartbeats.
 """
 
 from collections import deque
@@ -19,10 +19,10 @@
 HOSTS_PER_BEAT_SECOND = 70
 SILENT_BEATS = 4
 FORGET_SECONDS = 120.0
-# Seconds for which a host counts as alive after the last link to it went: long enough to dial
-# another one, and short enough that callers are not named a machine that lost its power.
+# A host counts as alive for this long after the last link to it was lost: long enough to dial
+# another, and short enough that callers are not given a machine that lost its power.
 DISCONNECTED_SECONDS = 1.0
-# The same on a host that reaches nobody, which can't tell its own trouble from that of all others.
+# The same on a host that reaches no other, which can't tell whether it or all others are cut off.
 ISOLATED_SECONDS = 1.6
 NO_HOSTS: frozenset[str] = frozenset()
 MAX_BEATS = 64
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True)
 class Member:
-    """A host as seen from here; ``last_seen_at`` is when its newest heartbeat was made.
+    """A host as seen by this host; ``last_seen_at`` is when its newest heartbeat was made.
 
-    That is in monotonic seconds of this host, and infinite for this host itself and for those that
-    it reaches over links.
+    The time is in monotonic seconds of this host, and infinite for this host itself and for hosts
+    that it reaches over links.
     """
 
     fact: HostFact
@@ -42,27 +42,27 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Tell whether callers should be sent there."""
+        """Tell whether callers should be given this host's address."""
         return self.alive and self.fact.state == "live"
 
 
 class Links(Protocol):
-    """Which hosts can be reached over links."""
+    """The hosts that are reachable over links."""
 
     def hosts(self) -> frozenset[str]:
-        """Return the hosts that are reached, without this one."""
+        """Return the reachable hosts, without this one."""
 
     def parted(self, host: str) -> float:
-        """Return when a host that is not reached now last was (monotonic seconds)."""
+        """Return when a host that is unreachable now was last reachable (monotonic seconds)."""
 
     def forget(self, host: str) -> None:
-        """Forget when a host was last reached."""
+        """Drop the time at which a host was last reachable."""
 
 
 class Membership:
-    """The members and this host's own place among them.
+    """All known hosts, and this host's own state.
 
-    With ``links``, hosts that are reached are alive without a heartbeat.
+    With ``links``, hosts that are reachable are alive without a heartbeat.
     """
 
     def __init__(self, facts: FactTable, own: HostFact, clock: Clock, links: Links | None = None):
@@ -85,23 +85,23 @@
         self._facts.publish("host", self.own)
 
     def set_state(self, state: str) -> None:
-        """Change this host's state and say so at once."""
+        """Change this host's state and publish it at once."""
         self.own = HostFact(**{**vars(self.own), "state": state})
         self.beat()
 
     def beat_seconds(self) -> float:
-        """Return the time between heartbeats; it grows with the number of hosts."""
+        """Return the seconds between heartbeats, which grow with the number of hosts."""
         count = len(self._facts.by_origin("host"))
         return BEAT_SECONDS * max(1.0, count / HOSTS_PER_BEAT_SECOND)
 
     def beat_time(self, beat: int) -> float | None:
-        """Return when this host made its heartbeat ``beat`` (monotonic seconds)."""
+        """Return when this host made its heartbeat ``beat`` (monotonic seconds), or None."""
         return next((at for number, at in self._beats if number == beat), None)
 
     def members(self) -> Mapping[str, Member]:
-        """Return all hosts known, by name: a view that changes with what is heard.
+        """Return all known hosts by name, as a live read-only view.
 
-        A host that is heard of is judged then, and all are when one may have become silent.
+        A host is judged when its fact changes, and all are judged when one may have become silent.
         """
         now = self._clock.monotonic()
         reached = self._links.hosts() if self._links else NO_HOSTS
@@ -112,7 +112,7 @@
         return MappingProxyType(self._members)
 
     def _silent_limit(self, reached: frozenset[str]) -> float:
-        """Return the seconds after which a host that is not reached, or not heard, is dead."""
+        """Return the seconds after which an unreachable or silent host counts as dead."""
         if self._links is None:
             return SILENT_BEATS * self.beat_seconds()
         return DISCONNECTED_SECONDS if reached else ISOLATED_SECONDS
@@ -134,7 +134,7 @@
         return Member(known.fact, alive, last_seen_at)
 
     def _on_changed(self, slots: list[Slot]) -> None:
-        """Judge the hosts anew that were heard of; the time for a look at all stays good."""
+        """Judge the hosts whose facts changed; keep the time of the next full judgement."""
         now = self._clock.monotonic()
         for origin, topic in slots:
             known = self._facts.get(origin, topic) if topic == "host" else None
@@ -145,24 +145,24 @@
                 self._judged_until = min(self._judged_until, row.last_seen_at + self._limit)
 
     def live(self) -> list[str]:
-        """Return the names of the hosts that are alive and not leaving, this one included."""
+        """Return the names of the hosts that are alive and not draining, this one included."""
         return sorted(name for name, row in self.members().items() if row.accepts_work)
 
     def find_domain(self, host: str) -> str:
-        """Return a host's failure domain, empty where it is not known."""
+        """Return a host's failure domain, or an empty string if it is unknown."""
         member = self.members().get(host)
         return member.fact.domain if member is not None else ""
 
     def find(self, incarnation: str) -> Member | None:
-        """Return the member whose life is ``incarnation``."""
+        """Return the member with an incarnation, or None."""
         rows = self.members().values()
         return next((row for row in rows if row.fact.incarnation == incarnation), None)
 
     def sweep(self) -> list[str]:
-        """Forget the hosts that have been silent for long; return their names.
+        """Remove the hosts that have been silent for ``FORGET_SECONDS``; return their names.
 
-        One that was heard of a moment ago is kept: its word may be old, and that it can be reached
-        may stand in the next frame.
+        A host that became known only recently is kept: its fact may be old, and the next frame may
+        report that it is reachable.
         """
         oldest = self._clock.monotonic() - FORGET_SECONDS
         since = self._known_since
--- a/peridotdock/mesh.py
+++ b/peridotdock/mesh.py
@@ -1,8 +1,8 @@
-"""Links between hosts: each keeps a few, and every fact travels over all of them.
+"""The links of a host to other hosts, over which every fact is spread.
 
-A link sends at most one frame at a time and the newest version of each fact, so a slow peer
-costs a set of names and no queue. Each side sends heartbeats; a link that has been silent for
-four periods is closed and dialled afresh, since the other end may have lost track of it.
+A link sends at most one frame at a time and only the newest version of each fact, so a slow peer
+costs a set of names instead of a queue. Each side sends heartbeats; a link that has been silent for
+four periods is closed and dialled again, since the other end may have lost its side of it.
 """
 
 import asyncio
@@ -48,15 +48,15 @@
 REDIAL_SECONDS = 0.5
 HANDSHAKE_SECONDS = 3.0
 FLUSH_SECONDS = 0.02
-# Links a host writes to in a second: with more of them, each waits longer and takes more facts at
-# once.
+# Upper bound on the flushes of a host per second over all links: with more links, each waits longer
+# and sends more facts at once.
 FLUSHES_PER_SECOND = 400.0
-# Seconds that a link is kept although another one is wanted: some turns of writing.
+# A link is kept for at least this long even if another one is wanted: several flushes.
 MIN_LINK_SECONDS = 1.5
-# Seconds for which another host is preferred to one whose link was lost or could not be had.
+# After a lost link or a failed dial, other hosts are preferred to that host for this long.
 FAILED_LINK_SECONDS = 3.0
 FETCH_SECONDS = 3.0
-# Frames with rows of the store that wait on one link; who misses some reads the store itself.
+# Frames with store rows queued on one link; a peer that misses some reads the store itself.
 MAX_QUEUED_ROWS = 50
 MAX_LINKS = 400
 ENTRIES_PER_FRAME = 1000
@@ -73,7 +73,11 @@
 
 
 class Mesh:
-    """All links of this host."""
+    """All links of this host.
+
+    ``find_body`` returns the manifest body of a digest, or empty bytes; ``choose`` picks the hosts
+    to dial from addresses by host; ``select_links`` picks the links that a fact is sent over.
+    """
 
     def __init__(
         self,
@@ -110,14 +114,14 @@
         facts.listen(self._on_changed)
 
     async def start(self) -> None:
-        """Begin to accept links."""
+        """Listen for links from other hosts."""
         cfg = self._ctx.cfg
         self._server = await serve(self._accept, cfg.peer_ip, cfg.peer_port, **LINK_OPTIONS)
         ip, port = next(iter(self._server.sockets)).getsockname()[:2]
         self.address = f"{ip}:{port}"
 
     async def stop(self) -> None:
-        """Close all links, and dial no more: each that ends would call for another."""
+        """Close all links and stop dialling, as each link that ends would be replaced."""
         self._stopping = True
         for task in list(self._tasks):
             task.cancel()
@@ -134,15 +138,15 @@
         return list(self._links)
 
     def peers(self) -> set[str]:
-        """Return the names of the hosts at the other ends of the links."""
+        """Return the names of the linked hosts."""
         return {link.peer.host for link in self._links}
 
     def last_received(self, host: str) -> float:
-        """Return when the last word came over the last link to a host that has ended."""
+        """Return when the last frame came over the most recent ended link to a host."""
         return self._last_received.get(host, float("-inf"))
 
     def connect_to(self, addresses: dict[str, str]) -> None:
-        """Dial those among ``addresses`` (IP:PORT by host) that are wanted and have no link yet."""
+        """Dial the chosen hosts among ``addresses`` (IP:PORT by host) that have no link yet."""
         linked = self.peers()
         for host in self._choose(addresses):
             if host not in linked and addresses[host] not in self._dialling:
@@ -152,9 +156,10 @@
         return neighbours(self._ctx.cfg.host_id, addresses, self._ctx.cfg.peer_degree)
 
     def keep_only(self, host: str) -> None:
-        """Close the links that this host dialled, but for the one to ``host``.
+        """Close the links that this host dialled, except the one to ``host``.
 
-        A new link is left for a while: what each end knows of other hosts goes over it first.
+        A new link is kept for ``MIN_LINK_SECONDS``, so that both ends exchange what they know of
+        other hosts first.
         """
         until = self._ctx.clock.monotonic() - MIN_LINK_SECONDS
         for link in self._links:
@@ -163,7 +168,7 @@
                 link.conn.transport.abort()
 
     def failed_hosts(self) -> set[str]:
-        """Return the hosts and addresses to which a link was lost or not had a moment ago."""
+        """Return hosts and addresses with a lost link or failed dial in ``FAILED_LINK_SECONDS``."""
         oldest = self._ctx.clock.monotonic() - FAILED_LINK_SECONDS
         self._failed_at = {name: at for name, at in self._failed_at.items() if at > oldest}
         return {*self._failed_at}
@@ -171,8 +176,8 @@
     def connect_to_seed(self, address: str) -> None:
         """Dial an address whose host is not known yet.
 
-        Failure guarded against: a link comes up before its host's own word has come over it, and
-        the address is dialled anew with each other link that comes up meanwhile. Four hosts that
+        Failure guarded against: a link comes up before the peer's own fact has arrived over it, and
+        the address is dialled again with each other link that comes up meanwhile. Four hosts that
         started on one machine had up to three links to each other, and each fact went over all.
         """
         dialled = {link.address for link in self._links}
@@ -223,7 +228,7 @@
     async def _run(
         self, conn: Connection, peer: Hello | Failure, dialled: bool, address: str = ""
     ) -> bool:
-        """Serve a link to its end, and tell whether it was lost."""
+        """Serve a link until it ends; return whether it was lost rather than released."""
         if failed(peer):
             await conn.close(1008)
             return True
@@ -288,7 +293,7 @@
                 waiter.set_result(frame.body)
 
     def send_to(self, host: str, frame: GrantFrame | QuotaFrame | PermitFrame) -> bool:
-        """Send a frame to a host at the other end of a link; false where there is none."""
+        """Send a frame to a linked host; return False if there is no link to it."""
         links = [link for link in self._links if link.peer.host == host]
         if not links:
             return False
@@ -297,7 +302,7 @@
         return True
 
     def send_rows(self, frame: Rows, source: Link | None = None) -> None:
-        """Pass rows of the store on over all links but the one they came from."""
+        """Forward store rows over all links except the one that they came from."""
         waiting = QueuedRows(frame, self._ctx.clock.monotonic())
         for link in self._links:
             if link is not source:
@@ -305,9 +310,9 @@
                 link.wake.set()
 
     def request_rows(self, table: str, after: int) -> None:
-        """Ask the hosts at the other ends of dialled links, or one of all, for a newer table.
+        """Request a newer version of a table over a random dialled link, or any link if none.
 
-        A host dials the hub alone; the hub, which dialled none, asks any.
+        A host dials only the hub; the hub, which dials no host, asks any.
         """
         links = [link for link in self._links if link.dialled] or list(self._links)
         if links:
@@ -318,15 +323,15 @@
         try:
             return self._facts.merge(frame.entries)
         except Exception as exc:
-            # A fact that cannot be read harms nothing else; the rest of the frame comes again.
+            # A fact that cannot be decoded ends only this update; later updates bring the rest.
             self._ctx.timeline.add("bad_fact", "WARNING", detail=f"{link.peer.host}: {exc!r}")
             return []
 
     def _on_changed(self, slots: list[Slot]) -> None:
-        """Note for each link what its peer may not have yet.
+        """Mark changed facts as dirty on each link whose peer may not have them yet.
 
-        A fact is not passed on to a peer that says it has a link to the fact's origin. Most facts
-        go over no link or over one, so only the links of a fact's audience are looked at.
+        A fact is not forwarded to a peer that reports a link to the fact's origin. Most facts go
+        over no link or over one, so only the links selected for a fact are visited.
         """
         for origin in {origin for origin, topic in slots if topic == "links"}:
             self._note_links(origin)
@@ -337,9 +342,9 @@
                     link.wake.set()
 
     def _note_links(self, host: str) -> None:
-        """Take in what links a host says it has.
+        """Update the links that a host reports.
 
-        When a peer says that it lost one, it gets all facts of the host at its other end again.
+        When a peer reports a lost link, it is sent all facts of the host at the other end again.
         """
         for link in self._links:
             if link.peer.host != host:
@@ -350,14 +355,14 @@
                 self._mark_dirty(link, [slot for slot in self._facts.slots() if slot[0] in lost])
 
     def _mark_dirty(self, link: Link, slots: list[Slot]) -> None:
-        """Let a link send those facts that it is to pass."""
+        """Mark as dirty on a link those facts that are selected for it."""
         wanted = [slot for slot in slots if self._select_links(slot, (link,))]
         if wanted:
             link.dirty.update(wanted)
             link.wake.set()
 
     def resend_facts(self, host: str, origin: str = "") -> None:
-        """Let the link to a host send again what it is to pass now: all facts, or one origin's."""
+        """Send the facts selected for a host's link again: all of them, or one origin's."""
         slots = [slot for slot in self._facts.slots() if origin in ("", slot[0])]
         for link in self._links:
             if link.peer.host == host:
@@ -392,7 +397,7 @@
                 )
 
     async def fetch(self, digest: str) -> bytes | None:
-        """Ask the peers for a manifest body; None when none gave it in time."""
+        """Request a manifest body from all peers; return None if none sends it in time."""
         waiter = self._body_waiters.setdefault(digest, asyncio.get_running_loop().create_future())
         for link in list(self._links):
             await self._sender.send(link, Fetch("fetch", digest))
--- a/peridotdock/placement.py
+++ b/peridotdock/placement.py
@@ -1,9 +1,9 @@
-"""Placement: which loads and unloads to do next. Pure functions over frozen views.
+"""Placement: computes the next loads and unloads. Pure functions over frozen views.
 
-The floor goes first: each model and adapter has its copies, in different failure domains where
-that can be. What memory is left goes where it takes most queueing away, if that is worth more
-than the deployment's price of a move. An extra copy is not removed for being idle, only to make
-room for something better, since each needless unload is a move that may have to be undone.
+The floor comes first: each model and adapter gets its copies, in different failure domains where
+possible. The remaining memory is used where it reduces queueing most, if that is worth more than
+the deployment's price of a move. An idle extra copy is removed only to free memory for a better
+use, since each needless unload is a move that may have to be undone.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,7 +31,10 @@
     demand: Mapping[str, float],
     allow_additions: bool = True,
 ) -> Plan:
-    """Return what to do next."""
+    """Return the next moves; copies beyond the floor are added only if ``allow_additions``.
+
+    ``demand`` is the request rate by item key.
+    """
     draft = make_draft(accepted, engines)
     unmet = fill_floor(draft, demand)
     unload_retired(draft)
@@ -41,7 +44,7 @@
 
 
 def fill_floor(draft: Draft, demand: Mapping[str, float]) -> list[str]:
-    """Load what is below its floor, lost and wanted items first; return what stays below."""
+    """Add copies of items below their floor, in the order of ``floor_rank``; return their keys."""
     unmet = []
     for item in sorted(draft.accepted.items.values(), key=lambda i: floor_rank(i, demand)):
         short = item.copies - len(find_copies(draft, item))
@@ -52,12 +55,12 @@
 
 
 def floor_rank(item: Item, demand: Mapping[str, float]) -> tuple[bool, float, int, str]:
-    """Order the floor: bases before adapters, wanted ones first, large ones first."""
+    """Return the sort key of the floor: models before adapters, high demand first, then size."""
     return item.is_adapter, -demand.get(item.key, 0.0), -item.bytes * item.span, item.key
 
 
 def add_floor_copy(draft: Draft, item: Item, demand: Mapping[str, float]) -> None:
-    """Load one copy of an item, or make room for one."""
+    """Load one copy of an item, or unload others to free memory for it."""
     if draft.loading >= draft.accepted.manifest.deployment.parallel_loads:
         return
     spot = find_spot(draft, item)
@@ -68,7 +71,10 @@
 
 
 def find_spot(draft: Draft, item: Item) -> tuple[str, tuple[int, ...]] | None:
-    """Return the best engine and accelerators with room for an item, or None."""
+    """Return the best engine and accelerators with free memory for an item, or None.
+
+    Failure domains without a copy come first, then engines with the most memory left.
+    """
     best = None
     taken = {draft.engines[name].domain for name in find_copies(draft, item)}
     for name in allowed_engines(draft, item):
@@ -85,7 +91,10 @@
 
 
 def free_capacity(draft: Draft, item: Item, demand: Mapping[str, float]) -> bool:
-    """Unload the least wanted extra copies on the engine where fewest must go."""
+    """Unload extra copies on the engine where they have the least demand, then are fewest.
+
+    Return whether any engine can be freed for the item.
+    """
     best: tuple[tuple[float, int], str, list[str]] | None = None
     for name in allowed_engines(draft, item):
         victims = find_victims(draft, item, name, demand)
@@ -102,7 +111,7 @@
 
 
 def unload_retired(draft: Draft) -> None:
-    """Unload what the manifest no longer names, once what replaces it is ready."""
+    """Unload items that the manifest no longer names, once their successors are ready."""
     for key in list(draft.copies):
         if key in draft.accepted.by_key:
             continue
@@ -118,7 +127,7 @@
 
 
 def has_adapters(draft: Draft, base: str, engine: str) -> bool:
-    """Tell whether an engine still has adapters that stand on ``base`` there."""
+    """Tell whether an engine still has adapters that use its copy of ``base``."""
     return any(
         key.endswith(f"~{base}") and found[engine].state in COPY_STATES
         for key, found in draft.copies.items()
@@ -127,7 +136,7 @@
 
 
 def find_floor_errors(accepted: Accepted) -> list[str]:
-    """Return why the floor of a manifest cannot fit, with the sums; nothing when it can."""
+    """Return the errors of a floor that does not fit, with the sums; empty if it fits."""
     engines = [
         EngineView(name, row.domain, tuple(a.bytes for a in row.accelerators), True)
         for name, row in accepted.engines.items()
--- a/peridotdock/planner.py
+++ b/peridotdock/planner.py
@@ -1,7 +1,7 @@
-"""The planner's role: one host at a time turns manifest, ledgers and demand into a plan.
+"""The planner role: one host at a time computes a plan from manifest, ledgers and demand.
 
-It orders nothing. A second planner, or a stale plan, can cost a needless move; the ledgers keep
-memory safe and last copies in place whatever a plan says.
+The planner sends no orders. A second planner or a stale plan can cost a needless move, but the
+ledgers protect memory and last copies whatever the plan contains.
 """
 
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 
 class Planner:
-    """Makes plans while this host holds the planner's role."""
+    """Writes plans while this host holds the planner role."""
 
     def __init__(self, ctx: Context, platform: Platform, lease: HostLease, lease_table: LeaseTable):
         self._ctx = ctx
@@ -35,7 +35,7 @@
         self.generation = 0
 
     def read_row(self, row: Row | None) -> None:
-        """Take in the plan's row as it was read."""
+        """Apply the plan's row as read from the platform; None if there is none."""
         self._row = row
         if row is None:
             return
@@ -44,7 +44,7 @@
 
     @property
     def holder(self) -> str:
-        """Return the life of the host that has the role, as far as is known."""
+        """Return the incarnation that holds the role, or an empty string if none is known."""
         return self._row.value["planner"] if self._row else ""
 
     async def update_plan(
@@ -55,7 +55,11 @@
         demand: Mapping[str, float],
         chosen: bool,
     ) -> None:
-        """Write a new plan if this host has the role, or may take it."""
+        """Write a new plan if this host holds the role, or may take it over.
+
+        ``chosen`` tells whether rendezvous hashing assigns the role to this host, ``down`` names
+        the engines that are down or draining, and ``demand`` is the request rate by item key.
+        """
         if not self._lease.valid(0.2):
             return
         checks = {PLAN_KEY: self._row.version if self._row else 0}
@@ -94,8 +98,11 @@
     def _engine_views(
         self, accepted: Accepted, ledgers: Mapping[str, Row], down: set[str]
     ) -> list[EngineView]:
-        """Return the engines as they stand. One that is briefly away is not yet lost: reloading
-        what it holds elsewhere would cost moves for nothing."""
+        """Return the engines' current state.
+
+        One that is down for less than ``ENGINE_LOST_SECONDS`` counts as alive, since reloading its
+        items elsewhere would cost needless moves.
+        """
         now = self._ctx.clock.monotonic()
         self._down_since = {name: self._down_since.get(name, now) for name in down}
         views = []
@@ -115,7 +122,7 @@
         return views
 
     def moves_by_endpoint(self) -> dict[str, list[Move]]:
-        """Return the newest plan's moves by endpoint."""
+        """Return the moves of the newest plan, grouped by endpoint."""
         found: dict[str, list[Move]] = {}
         for move in self.plan.moves:
             found.setdefault(move.endpoint, []).append(move)
--- a/peridotdock/publishing.py
+++ b/peridotdock/publishing.py
@@ -1,8 +1,8 @@
-"""Making a manifest the one in force: publish by compare-and-set, learn by two ways, never go back.
+"""Publishes manifests by compare-and-set and fetches their bodies.
 
-The head row names generation and digest; the body is an object called by its digest. A host
-learns a new head from the platform or from a peer, whichever is first, and fetches the body from
-the object store or from a peer. It checks the digest and takes only a higher generation.
+The head row names generation and digest; the body is an object named by its digest. A host
+learns of a new head from the platform or from a peer, whichever is first, and fetches the body from
+the object store or from a peer. It checks the digest and accepts only a higher generation.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Published:
-    """An accepted publication; ``changed`` is false when it was in force already."""
+    """An accepted publication; ``changed`` is False if the manifest was already in force."""
 
     generation: int
     digest: str
@@ -38,7 +38,7 @@
 
 
 def check_all(raw: bytes) -> CheckResult:
-    """Check a manifest in every way, the floor included."""
+    """Check a manifest, including whether its floor fits."""
     checked = manifests.check(raw)
     if checked.manifest is None:
         return checked
@@ -50,7 +50,7 @@
 def check_successor(
     head: dict[str, Any] | None, document: dict[str, Any], digest: str
 ) -> Failure | None:
-    """Tell whether a document may follow the head; None when it may."""
+    """Return the failure why a document may not follow the head, or None."""
     if head is None:
         if document["based_on"] == 0:
             return None
@@ -70,7 +70,11 @@
 async def publish(
     platform: Platform, document: dict[str, Any], current: Accepted | None
 ) -> Published | Failure:
-    """Publish a checked document. Accepted means committed; doubt is said to be doubt."""
+    """Publish a checked document; ``current`` is the manifest in force at this host.
+
+    A ``Published`` result means that the head is committed. If the commit's outcome is unknown,
+    the failure is of kind ``OUTCOME_UNKNOWN``.
+    """
     digest = manifests.digest(document)
     rows = await platform.read([HEAD_KEY])
     if failed(rows):
@@ -95,11 +99,11 @@
     head: dict[str, Any] | None,
     current: Accepted | None,
 ) -> Failure | None:
-    """Store the body, and the difference to the one in force for hosts that have that."""
+    """Store the body, and its difference to the body in force for hosts that have that one."""
     if current is not None and head is not None and current.digest == head["digest"]:
         changes = manifests.diff(current.document, document)
         raw = json.dumps(changes, separators=(",", ":")).encode()
-        # A difference that is missing costs a whole body, nothing else.
+        # A failed write is ignored: without the difference, hosts fetch the whole body.
         await platform.put_object(diff_name(current.digest, digest), raw)
     return await platform.put_object(object_name(digest), manifests.canonical(document))
 
@@ -107,7 +111,7 @@
 async def commit_head(
     platform: Platform, document: dict[str, Any], digest: str, row: Row | None
 ) -> Published | Failure:
-    """Move the head on, if it is still the one that was judged."""
+    """Replace the head if it is still the one that the document was checked against."""
     generation = (row.value["generation"] if row else 0) + 1
     head = {
         "generation": generation,
@@ -130,7 +134,7 @@
 async def explain_conflict(
     platform: Platform, document: dict[str, Any], digest: str
 ) -> Published | Failure:
-    """Say who was faster. When it was the very same document, it is in force."""
+    """Return why the head changed meanwhile, or success if the same document is in force."""
     rows = await platform.read([HEAD_KEY])
     lost = Failure(Kind.MANIFEST_CONFLICT, "another publication was faster")
     if failed(rows) or HEAD_KEY not in rows:
@@ -144,7 +148,10 @@
 async def fetch_from_store(
     platform: Platform, digest: str, current: Accepted | None
 ) -> bytes | None:
-    """Fetch a body from the object store: by difference where possible, else whole."""
+    """Fetch a body from the object store, by its difference to ``current`` where possible.
+
+    Return None if it can't be fetched.
+    """
     if current is not None:
         raw = await platform.get_object(diff_name(current.digest, digest))
         document = read_difference(raw, current) if isinstance(raw, bytes) else None
@@ -155,7 +162,7 @@
 
 
 def read_difference(raw: bytes, current: Accepted) -> dict[str, Any] | None:
-    """Return what a stored difference makes of ``current``; None when it cannot be read."""
+    """Apply a stored difference to ``current``; return None if it cannot be decoded."""
     try:
         return manifests.apply_diff(current.document, json.loads(raw))
     except (ValueError, KeyError, TypeError, AttributeError):
--- a/peridotdock/rendezvous.py
+++ b/peridotdock/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all hosts that see the same members choose the same one."""
+"""Rendezvous hashing: hosts that know the same members choose the same one for a key."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 
 
 def neighbours(host: str, others: Iterable[str], degree: int) -> list[str]:
-    """Return the hosts that ``host`` links to; the weight of a pair is the same at both ends."""
+    """Return the ``degree`` hosts that ``host`` links to; both ends weigh a pair the same."""
 
     def weight(other: str) -> int:
         return weigh("link", "|".join(sorted((host, other))))
@@ -25,9 +25,9 @@
 
 
 class Assignment:
-    """Remembers which keys fall to a host while keys and members stay the same.
+    """Caches which keys are assigned to a host while keys and members stay the same.
 
-    A round hashes each key with each member; the members change rarely.
+    Computing it hashes each key with each member, and the members change rarely.
     """
 
     def __init__(self, host: str):
--- a/peridotdock/scaling.py
+++ b/peridotdock/scaling.py
@@ -1,4 +1,4 @@
-"""Which copies to add: those that take most queueing away, while that is worth a move."""
+"""Chooses copies to add: those that reduce queueing most, while that is worth a move."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 
 def queue_cost(load: float) -> float:
-    """Return the mean number of requests that wait at a load, straight beyond :data:`BUSY`."""
+    """Return the mean number of waiting requests at a load, linear above ``LINEAR_COST_LOAD``."""
     if load <= LINEAR_COST_LOAD:
         return load * load / (1 - load)
     slope = (2 * LINEAR_COST_LOAD - LINEAR_COST_LOAD * LINEAR_COST_LOAD) / (
@@ -33,7 +33,7 @@
 
 
 def spread_load(draft: Draft, demand: Mapping[str, float]) -> dict[str, float]:
-    """Return the load of each live engine if each item's demand were shared by its copies."""
+    """Return the load of each live engine if copies share each item's demand equally."""
     loads = {name: 0.0 for name, engine in draft.engines.items() if engine.alive}
     for key, rate in demand.items():
         holders = draft.holders(key)
@@ -43,7 +43,7 @@
 
 
 def add_replicas(draft: Draft, demand: Mapping[str, float]) -> None:
-    """Add the copies that take most queueing away, while they are worth the price of a move."""
+    """Add the copies that reduce queueing most, while the gain exceeds the price of a move."""
     deployment = draft.accepted.manifest.deployment
     for _ in range(MAX_ADDITIONS_PER_PLAN):
         if draft.loading >= deployment.parallel_loads:
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class ReplicaAddition:
-    """A copy that could be added, and the queueing it would take away."""
+    """A copy that could be added; ``gain`` is the reduction in waiting requests."""
 
     item: Item
     engine: str
@@ -72,7 +72,7 @@
 
 
 def find_addition(draft: Draft, demand: Mapping[str, float]) -> ReplicaAddition | None:
-    """Return the best copy to add: an item of a hot engine on a cool one."""
+    """Return the best copy to add: an item of a heavily loaded engine on a lightly loaded one."""
     loads = spread_load(draft, demand)
     family = demand_with_adapters(draft.accepted, demand)
     ranked = sorted(loads, key=lambda name: loads[name], reverse=True)
@@ -87,9 +87,9 @@
 
 
 def demand_with_adapters(accepted: Accepted, demand: Mapping[str, float]) -> dict[str, float]:
-    """Return the demand by item, with that for adapters counted for their base too.
+    """Return the demand by item, with the demand for adapters also counted for their base.
 
-    An adapter can only go where its base is, so the base has to grow first, on their behalf.
+    An adapter can only be loaded next to its base, so a copy of the base has to be added first.
     """
     total = dict(demand)
     for item in accepted.items.values():
@@ -99,7 +99,7 @@
 
 
 def hot_items(draft: Draft, engine: str, family: Mapping[str, float]) -> list[Item]:
-    """Return the items that load an engine most."""
+    """Return the items that contribute most to an engine's load."""
     keys = [key for key, found in draft.copies.items() if engine in found and family.get(key)]
     keys = [key for key in keys if key in draft.accepted.by_key]
     keys.sort(key=lambda key: family[key] / max(1, len(draft.holders(key))), reverse=True)
@@ -107,7 +107,10 @@
 
 
 def allowed_additions(draft: Draft, item: Item, loads: Mapping[str, float]) -> list[str]:
-    """Return the coolest engines that could take one more copy, with room or with extras."""
+    """Return the least loaded engines that could hold one more copy.
+
+    They have free memory for it, or extra copies that can be unloaded.
+    """
     names = sorted(allowed_engines(draft, item), key=lambda name: loads.get(name, 0.0))
     fits = []
     for name in names:
@@ -125,7 +128,7 @@
     loads: Mapping[str, float],
     demand: Mapping[str, float],
 ) -> float:
-    """Return the queueing that one more copy takes away, less what its victims bring back."""
+    """Return the reduction in queueing by one more copy, less the increase by its victims."""
     holders = draft.holders(item.key)
     rate = demand.get(item.key, 0.0)
     if not holders or not rate:
--- a/peridotdock/watch.py
+++ b/peridotdock/watch.py
@@ -1,7 +1,7 @@
-"""The watcher's role: for each endpoint one host reads its reports and tells the others.
+"""The watcher role: for each endpoint one host reads its reports and publishes them.
 
-Rendezvous hashing over the live hosts says which; two for a moment is harmless. Every host
-reading every endpoint would be hosts times endpoints; this is one read an endpoint and period.
+Rendezvous hashing over the live hosts assigns the endpoints; two watchers for a moment are
+harmless. This costs one read per endpoint and period, instead of one for each host and endpoint.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 @dataclass
 class WatchedEndpoint:
-    """What the watcher remembers of one endpoint."""
+    """The watcher's state of one endpoint; ``failures`` counts consecutive failed reads."""
 
     report: Report | None = None
     read_at: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class Watcher:
-    """Reads the reports of the endpoints that are this host's to watch."""
+    """Reads the reports of the endpoints that are assigned to this host."""
 
     def __init__(self, ctx: Context, facts: FactTable, endpoints: HttpEndpoints, fleet: Fleet):
         self._ctx = ctx
@@ -44,7 +44,7 @@
         self.listed_leaving: set[str] = set()
 
     async def read_all(self, accepted: Accepted, live: list[str]) -> None:
-        """Read all endpoints that are ours, then publish."""
+        """Read the reports of this host's endpoints, then publish them."""
         own = self._assignment.own_keys(accepted.engines, live)
         self._watched = {name: seen for name, seen in self._watched.items() if name in own}
         await asyncio.gather(*(self._read(accepted.engines[name]) for name in own))
@@ -64,7 +64,7 @@
         seen.failures = 0
 
     def _apply_events(self, name: str, seen: WatchedEndpoint, report: Report) -> None:
-        """Follow the engine's cache. After a gap, what it might have dropped is not trusted."""
+        """Apply the engine's cache events; a gap in their sequence lowers the trust in hints."""
         state = self._fleet.states.get(name)
         if state is None:
             return
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that ends each endpoint that begins it, and comes again and again."""
+"""A request that ends each endpoint that begins it and is retried repeatedly."""
 
 import asyncio
 import re
@@ -31,8 +31,8 @@
 
 POISON = b"a prompt that no engine survives"
 ALL = Filter()
-# A series of ends as hosts saw it: the requests, by their prompts' tokens, that each engine had
-# been sent and had given at most 0.3 s of events. Long rows are cut.
+# A recorded series of ends: the requests, named by their prompt tokens, that each engine had been
+# sent and had produced events for at most 0.3 s. Long rows are cut.
 SERIES = (
     "324 793 2266 5249 15892",
     "214 324 498 673 771 793 827 5249 6576 7345 12478",
@@ -54,20 +54,20 @@
     "372 378 801 997 1201 1248 1870 2478 5003 7165 8236 16610",
     "372 386 801 997 1201 1248 1870 2478 5003 6364 7165 8236 12963",
 )
-# Seconds after which one host's word has reached the others.
+# Time after which a fact of one host has reached the others.
 PUBLISH_SECONDS = 0.3
 ENGINES = tuple((f"e{number}", ("m0",)) for number in range(8))
 
 
 def make_poison_fatal(found):
-    """Let the request end each engine; return what tells which have ended."""
+    """Let the request end each engine; return a function that lists the ended ones."""
     for runner in found.engines.values():
         runner.fatal = {POISON}
     return lambda: [name for name, runner in found.engines.items() if runner.ended]
 
 
 def lost_contents(host):
-    """Return the contents that a host's lines on broken answers name, by request."""
+    """Return the content ids in a host's log lines on broken answers, by request."""
     lines = [event for event in host.ctx.timeline.select(ALL) if event.name == "send_lost"]
     found = [(line.request, re.search(r"content (\w+), no event", line.detail)) for line in lines]
     return {request: match[1] for request, match in found if match}
@@ -76,7 +76,7 @@
 class LostSendLogTest(unittest.TestCase):
     @run
     async def test_log_lines_identify_attempts_at_the_same_request(self):
-        """Operators see engines end, and can't tell which of a hundred requests did it."""
+        """Operators see engines end, but not which of a hundred requests was the cause."""
         async with Deployment(engines=ENGINES) as found:
             for runner in found.engines.values():
                 runner.fatal = {POISON, b"another"}
@@ -89,15 +89,15 @@
 
 
 class ManyHostsTest(unittest.TestCase):
-    """Streams of all callers break off each second or two, for half a minute.
+    """Streams of all callers break off every second or two, for half a minute.
 
-    One request ends each engine that begins it. Its caller repeats it, each time under another id
-    and at another host. Within an attempt a host avoids the engines that it has tried; the next
-    attempt starts with a clean slate, so the next engine gets it: 39 ended under one request.
+    One request ends each engine that begins it. Its caller retries it, each time under another id
+    and at another host. Within an attempt a host avoids the engines that it has tried, but the next
+    attempt starts without that list, so the next engine gets it: one request ended 39 engines.
 
-    By model and prompt one request was at ten of ten engines that ended, another at nine of nine,
-    no other at more than three, each before its first event. Three hosts logged "sent ... send 2,
-    ... 1248 to read" for one engine within a millisecond; 0.185 s later all that was there had
+    By model and prompt, one request was at ten of ten engines that ended, another at nine of nine,
+    and no other at more than three, each before its first event. Three hosts logged "sent ... send
+    2, ... 1248 to read" for one engine within a millisecond; 0.185 s later all requests there had
     "send_lost ... answer_cut" within 5 ms.
     """
 
@@ -117,7 +117,7 @@
 
     @run
     async def test_the_block_list_survives_a_restart_of_all_hosts(self):
-        """The same begins anew when all hosts were replaced: none of them keeps anything."""
+        """When all hosts are replaced, a block list in memory is lost and more engines end."""
         async with Deployment(hosts=2, engines=ENGINES) as found:
             ended = make_poison_fatal(found)
             for number in range(3):
@@ -131,9 +131,9 @@
 
     @run
     async def test_answers_that_break_off_at_endpoints_that_live_block_nothing(self):
-        """A page that was lost three times is refused for ten minutes, though nothing is wrong.
+        """A page that was lost three times is rejected for ten minutes, though it is harmless.
 
-        Something between hosts and endpoints reset three connections, each with the same page.
+        The network between hosts and endpoints reset three connections, each with the same page.
         """
         pages = ("p1", "p2", "p3")
         async with Deployment(pages=pages) as found:
@@ -150,7 +150,7 @@
 
     @run
     async def test_an_error_answer_does_not_unblock_a_request(self):
-        """An endpoint that fails a part of its requests answers 500 to one that ended three."""
+        """An endpoint that fails some requests answers 500 to one that ended three endpoints."""
         async with Deployment(pages=("p0", "p1", "p2", "p3")) as found:
             for runner in [*found.pages.values()][:3]:
                 runner.fatal = {POISON}
@@ -165,11 +165,11 @@
 
     @run
     async def test_a_request_that_many_repeat_is_not_blocked_with_it(self):
-        """A page that many callers ask for is refused for ten minutes, though it harms nothing.
+        """A page that many callers request is rejected for ten minutes, though it is harmless.
 
-        It was on its way at each of the first three endpoints that another request ended, within a
-        second of each other. Both were at all three, so both were blocked, and what is blocked is
-        never answered, which alone would speak for it. Found by the soak, seed 7307.
+        It was in flight at each of the first three endpoints that another request ended, within a
+        second of each other. Both were at all three, so both were blocked, and a blocked request
+        is never answered, which alone would clear it. Found by the soak test, seed 7307.
         """
         pages = tuple(f"p{number}" for number in range(6))
         page = SimpleNamespace(
@@ -196,9 +196,9 @@
 
 
 class WaitingTest(unittest.TestCase):
-    """A request that waits for its model is blocked meanwhile, and then sent all the same.
+    """A request is blocked while it waits for its model, and then sent nevertheless.
 
-    Several attempts at it come at once. One of them ends the third engine while another waits.
+    Several attempts at it arrive at once. One of them ends the third engine while another waits.
     """
 
     @run
@@ -239,12 +239,12 @@
 
 
 class HasEndedTest(unittest.IsolatedAsyncioTestCase):
-    """Whether an endpoint that broke an answer off at 1,000 s has ended."""
+    """Whether an endpoint whose answer broke off at 1,000 s has ended."""
 
     def entry(self, born):
         return EndpointEntry("e1", "s", "10.0.0.1:80", "north", 8, False, born=born)
 
-    async def look(self, born, later, sent=None, refused=False):
+    async def has_ended(self, born, later, sent=None, refused=False):
         clock = FakeClock()
         fleet = RelayFleet("north", clock)
         fleet.replace([self.entry(born)] if born else [])
@@ -270,11 +270,11 @@
             ("an answer that was on its way", True, (1, 1.0, 999.5)),
         ):
             with self.subTest(name):
-                self.assertEqual(expected, await self.look(*args))
+                self.assertEqual(expected, await self.has_ended(*args))
 
 
 class BlocklistTest(unittest.TestCase):
-    """Two hosts' lists; ``p`` is at each end, ``x`` was only there."""
+    """The lists of two hosts; ``p`` causes each end, ``x`` was only running at the time."""
 
     def setUp(self):
         self.clock = FakeClock()
@@ -322,7 +322,7 @@
         self.assertTrue(self.blocks(self.first))
 
     def test_an_answer_clears_a_request_at_all_hosts(self):
-        """A page that many ask for was at three endpoints that failed, and is answered since."""
+        """A page that many request was at three endpoints that ended, and is answered later."""
         self.end(self.first, "e1", "e2", "e3", contents=("p", "x"))
         self.share(to=self.second, by=self.first)
         self.assertTrue(self.blocks(self.second, "x"))
@@ -389,7 +389,7 @@
 
 
 class BlocklistStoreTest(unittest.IsolatedAsyncioTestCase):
-    """The row that outlives all hosts, by the blocklist_store of one host after the other."""
+    """The stored row that survives all hosts, as written by one host after another."""
 
     def setUp(self):
         self.clock, self.store = FakeClock(), FakePlatform()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""No accelerator is ever committed beyond its capacity, in any order of events."""
+"""No accelerator is ever committed beyond its capacity, whatever the order of events."""
 
 import asyncio
 import unittest
@@ -87,7 +87,7 @@
         return self.engines[self.accepted.engines[name].url]
 
     def reconcile(self, host, moves=()):
-        """One round of a host's controller for both engines, with these moves in its plan."""
+        """Run one round of a host's controller for both engines, with ``moves`` as its plan."""
         controller = self.controllers[host]
         controller.moves = {}
         for move in moves:
@@ -107,7 +107,7 @@
 
 
 class MemoryMachine(RuleBasedStateMachine):
-    """Any interleaving of plans, rounds, faults, pauses, late orders and restarts."""
+    """Interleaves plans, rounds, faults, pauses, late orders and restarts."""
 
     fencing = True
 
@@ -131,7 +131,7 @@
         pauses=st.lists(PAUSES, min_size=1, max_size=4),
     )
     def work(self, host, moves, pauses):
-        """A host works by a plan for some rounds."""
+        """A host follows a plan for some rounds."""
         self.plan(host, moves, pauses)
 
     def plan(self, host, moves, pauses):
@@ -163,7 +163,7 @@
 
     @rule(host=HOSTS, moves=st.lists(MOVES, max_size=2), pauses=st.lists(PAUSES, max_size=3))
     def hand_over(self, host, moves, pauses):
-        """A host is paused, the other one takes over and works; the paused one wakes later."""
+        """A host is paused, the other takes over and follows a plan; the first resumes later."""
         other = "h1" if host == "h0" else "h0"
         self.world.lease_table.gone.add(self.incarnations[host])
         self.world.lease_table.gone.discard(self.incarnations[other])
@@ -173,7 +173,7 @@
     def restart_engine(self, engine):
         url = self.world.accepted.engines[engine].url
         self.world.engine(engine).restart()
-        # A restart closes the engine's connections: what was under way to it is gone.
+        # A restart closes the engine's connections, so orders in flight to it are lost.
         flying = self.world.endpoints.flying
         self.world.endpoints.flying = [row for row in flying if row[1] != url]
 
@@ -216,9 +216,9 @@
 
     def test_bytes_wait_for_a_late_load_on_an_engine_that_ignores_numbers(self):
         """
-        A load order is lost on the way and sent again; the item is loaded, then unloaded.
-        Another item wants the room. Then the first send of the load arrives after all. Were
-        the bytes given away at once, the accelerator would hold both.
+        A load order is delayed and sent again; the item is loaded, then unloaded. Another item
+        needs the memory. Then the first load order arrives. If the bytes were freed at once, the
+        accelerator would hold both items.
         """
         world = self.world
         world.reconcile("h0")
@@ -239,9 +239,9 @@
 
     def test_a_revoked_load_that_has_not_arrived_keeps_its_bytes_until_it_is_fenced(self):
         """
-        A load is on its way when the plan changes. The engine's list does not show the item, but
-        the load can still arrive, until the engine has answered an order with a newer number.
-        Were the bytes free before, the late load and the next item would both be there.
+        A load order is in flight when the plan changes. The engine's list does not show the item,
+        but the load can still arrive until the engine has answered an order with a newer number.
+        If the bytes were freed before that, the late load and the next item would both be loaded.
         """
         world = World(fencing=True)
         self.addCleanup(world.close)
@@ -297,8 +297,8 @@
 
     def test_a_lost_answer_of_the_reservation_does_not_reserve_twice(self):
         """
-        The row is written but the answer is lost. Sent again it conflicts, and the row read back
-        says that the first write was ours: the load goes on, once.
+        The row is written but the answer is lost. The retry conflicts, and the row read back shows
+        that the first write was this controller's: the load goes on, once.
         """
         world = self.world
         world.reconcile("h0")
@@ -310,8 +310,8 @@
 
     def test_a_resumed_controller_changes_nothing_under_an_old_term(self):
         """
-        A host is paused; its lease lapses and another host becomes controller and fills the engine.
-        The paused one wakes and still believes in its lease. Its write must not go through.
+        A host is paused; its lease lapses, another host becomes controller and fills the engine.
+        The paused host resumes and still considers its lease valid. Its write must fail.
         """
         world = self.world
         world.reconcile("h0")
@@ -342,8 +342,8 @@
 
     def test_two_controllers_do_not_unload_the_last_two_copies(self):
         """
-        Two copies stand on two engines with different controllers. Two plans of racing planners say
-        to unload one each; each controller has seen the other's copy. One copy must stay.
+        Two copies are on two engines with different controllers. The plans of two racing planners
+        unload one each, and each controller has seen the other's copy. One copy must stay.
         """
         world = self.world
         world.reconcile("h0")
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Frames between hosts, the board, the time line, settings: good and bad input."""
+"""Frames between hosts, the fact table, the timeline, settings: valid and invalid input."""
 
 import asyncio
 import io
@@ -102,9 +102,9 @@
         self.assertEqual(decode(raw), Ping("ping", 1))
 
     def test_a_large_fact_is_sent_deflated(self):
-        """Half of what 195 hosts say to each other is the news of engines, told whole.
+        """Half of the traffic between 195 hosts is the state of engines, sent in full.
 
-        It names the same models and adapters for engine after engine.
+        It repeats the same models and adapters for engine after engine.
         """
         items = [f"model-{number}/adapter" for number in range(9)]
         news = [EngineNews(f"e{number}", items, [], {}) for number in range(45)]
@@ -146,8 +146,8 @@
         ("newer version", (1, 2), True),
         ("same", (1, 1), False),
         ("older", (1, 0), False),
-        ("a new life, counting from the start", (2, 0), True),
-        ("an old life, far on", (0, 99), False),
+        ("a new incarnation, counting from the start", (2, 0), True),
+        ("an old incarnation, at a high version", (0, 99), False),
     )
     def test_which_fact_is_newer(self, _, stamp, taken):
         self.facts.merge([heads_entry()])
@@ -169,16 +169,16 @@
 class MalformedPeers(unittest.IsolatedAsyncioTestCase):
     async def test_bad_frames_close_their_link_and_harm_nothing_else(self):
         """
-        Something that is no host connects and sends rubbish, too much, or nothing. Its connection
-        is closed; callers and the other hosts notice nothing.
+        A client that is not a host connects and sends malformed data, too much data, or nothing.
+        Its connection is closed; callers and the other hosts are unaffected.
         """
         async with Cluster(hosts=2, engines=1) as cluster:
             await cluster.publish()
             host = cluster.hosts[0].host
             await wait_for(lambda: host.mesh.peers() == {"h1"}, "linked")
             for raw in (b"\xff", "text", encode(Ping("ping", 1)), b"x" * (21 * 1024 * 1024)):
-                # The client library itself can fail with AttributeError while it closes a
-                # connection that was aborted under a large send; it is not what is tested.
+                # The client library can fail with AttributeError while it closes a connection that
+                # was aborted during a large send; that is not under test.
                 with suppress(WebSocketException, OSError, AttributeError):
                     async with connect(f"ws://{host.mesh.address}", max_size=None) as conn:
                         await conn.recv()
@@ -204,14 +204,14 @@
 
     @params((Kind.ENDPOINT_REFUSED, "maybe"), (Kind.ENDPOINT_LOST, "maybe"), (Kind.KEY_RAN, "yes"))
     def test_an_earlier_send_is_not_forgotten(self, kind, ran):
-        """The first send is lost, the retry refused: "not run" would be a lie."""
+        """The first send is lost and the retry rejected: reporting "not run" would be wrong."""
         body = admit_maybe(Failure(kind), earlier_send=True).describe("r")
         self.assertEqual(body["error"]["ran"], ran)
 
 
 class TimeLines(unittest.TestCase):
     def test_effect_sorts_after_cause_across_hosts_with_clocks_apart(self):
-        """Host b's clock is half a minute behind; its answer to a's message must still be later."""
+        """Host b's clock is 30 s behind host a's; b's answer to a must still get a later stamp."""
         ahead, behind = FakeClock(), FakeClock()
         ahead.time += 30
         first, second = HybridClock(ahead), HybridClock(behind)
@@ -295,7 +295,7 @@
 
     @params(b"", b"[]", b"{}", b'{"set": 1}', b"\xff", b'{"set": {}, "removed": {}, "fields": []}')
     def test_a_bad_difference_falls_back_to_the_whole_body(self, raw):
-        """The store gives rubbish for the difference: the host must still get the release."""
+        """The store returns a malformed difference: the host must still get the release."""
         old, new = (builders.accepted(engines=[builders.engine(n)]) for n in ("e0", "e1"))
         platform = FakePlatform()
         body = manifests.canonical(new.document)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Manifests, outages, leaving and stopping: what operators do and what befalls the platform."""
+"""Manifests, platform outages, draining and stopping, links, and invalid input."""
 
 import asyncio
 import json
@@ -21,8 +21,8 @@
 
     async def test_of_two_pipelines_one_wins_and_the_other_is_told(self):
         """
-        Two pipelines publish at once, both built on the same generation. One is accepted. The
-        other gets a conflict that names both digests, and nothing of it is in force.
+        Two pipelines publish at once, both based on the same generation. One is accepted. The
+        other gets a conflict that names both digests, and no part of it is in force.
         """
         await self.cluster.publish()
         first = self.cluster.manifest()
@@ -53,8 +53,8 @@
 
     async def test_a_lost_commit_answer_is_made_good(self):
         """
-        The head is written, its answer lost. The publisher is told "accepted", which is true, and
-        not an error that would make the pipeline try with something else.
+        The head is written but the answer is lost. The publisher must get "accepted", which is
+        correct, and not an error after which the pipeline would publish something else.
         """
         document = self.cluster.manifest()
         self.cluster.platform.faults["lose"] = 1
@@ -89,8 +89,8 @@
 
     async def test_a_host_that_boots_beside_a_stale_peer_takes_the_newest(self):
         """
-        One host is cut off from the platform and still has generation 1. A new host hears of it
-        from that peer and of generation 2 from another. It must end at 2 and never step back.
+        One host is cut off from the platform and still has generation 1. A new host receives
+        generation 1 from that peer and 2 from another. It must end at 2 and never go back.
         """
         await self.cluster.publish()
         stale = self.cluster.hosts[0].host
@@ -109,8 +109,8 @@
 
     async def test_models_stay_reachable_through_a_change_of_version(self):
         """
-        A release brings a new version of a model. Until it is loaded somewhere the old one goes
-        on answering; no request in between is refused.
+        A release has a new version of a model. Until it is loaded on some engine, the old version
+        keeps serving; no request in between is rejected.
         """
         await self.cluster.publish()
         document = self.cluster.manifest()
@@ -129,9 +129,9 @@
 class Outages(unittest.IsolatedAsyncioTestCase):
     async def test_traffic_goes_on_and_a_host_boots_from_its_peers(self):
         """
-        The platform is down for long. Requests are answered as before. A host that is replaced
-        meanwhile learns manifest and endpoints from its peers and serves; when the platform is
-        back, leases are taken up again.
+        During a long platform outage requests are answered as before. A host that is added
+        meanwhile gets manifest and endpoints from its peers and serves; when the platform is back,
+        leases are renewed again.
         """
         async with Cluster(engines=1, hosts=2, models=1) as cluster:
             await cluster.publish()
@@ -165,8 +165,8 @@
 class Leaving(unittest.IsolatedAsyncioTestCase):
     async def test_a_leaving_endpoint_gets_no_new_work(self):
         """
-        An engine says that it leaves. The list of hosts lags, and one host is cut off from the
-        list altogether. Within two seconds no host sends it anything new.
+        An engine reports that it is leaving while the platform's list of hosts lags by 60 s. Within
+        two seconds no host sends it new requests.
         """
         async with Cluster(engines=2, hosts=2, models=1, adapters=0) as cluster:
             document = cluster.manifest()
@@ -188,8 +188,8 @@
 
     async def test_a_planned_stop_cuts_off_no_request(self):
         """
-        A host is told to stop with long answers under way, while callers with old addresses still
-        come. The old streams end whole; late comers within the time to live are served too.
+        A host is stopped during long answers, while callers with old addresses still connect. The
+        running streams complete, and callers within the time to live are served too.
         """
         keep = {"address_seconds": 2.0}
         async with Cluster(engines=1, hosts=2, models=1, settings=keep, step=0.02) as cluster:
@@ -213,7 +213,7 @@
                 "left the answers",
             )
             late = asyncio.get_running_loop().time() - left_at
-            self.assertLess(late, keep["address_seconds"], "the word came after the time to live")
+            self.assertLess(late, keep["address_seconds"], "the update came after the time to live")
             self.assertEqual((await cluster.ask(host=0))[0], 200)
             urls = [row["url"] for row in (await cluster.addresses(1))["addresses"]]
             self.assertEqual(urls, [cluster.hosts[1].server.url])
@@ -223,11 +223,11 @@
 
     async def test_all_hosts_are_replaced_under_load_without_a_failed_request(self):
         """
-        A release replaces every host, one after another. Callers ask for addresses, keep the
-        answer for its time to live, and go to the next address when one does not take them.
+        A release replaces every host, one after another. Callers fetch addresses, cache them for
+        their time to live, and try the next address when one rejects them.
 
-        With a time to live of 0.2 s a busy machine decides: "asked 0.892 s after the answer", and
-        answers that named a host whose word that it leaves was still on its way.
+        A time to live of 0.2 s makes the result depend on the machine's load: requests went out
+        0.892 s after the answer, and answers named a host whose leaving state was still in flight.
         """
         keep = {"address_seconds": 2.0}
         clock = asyncio.get_running_loop().time
@@ -287,8 +287,8 @@
 class Peers(unittest.IsolatedAsyncioTestCase):
     async def test_a_silent_link_is_found_and_dialled_afresh(self):
         """
-        A link between two hosts goes silent for good, both ends still open. Each host finds out by
-        the missing heartbeats, closes it and links anew; news flows again.
+        A link between two hosts goes silent permanently while both ends stay open. Each host
+        detects it by the missing heartbeats, closes it and dials again; facts are exchanged again.
         """
         async with Cluster(engines=1, hosts=2, models=1) as cluster:
             await cluster.publish()
@@ -305,13 +305,13 @@
             beat = second.membership.own.beat
             await wait_for(lambda: second.membership.own.beat > beat)
             await wait_for(
-                lambda: (k := first.facts.get("h1", "host")) and k.fact.beat > beat, "news"
+                lambda: (k := first.facts.get("h1", "host")) and k.fact.beat > beat, "updates"
             )
 
     async def test_hosts_that_called_each_other_dead_link_again(self):
         """
-        Two hosts lose each other for longer than it takes to call one dead. When the way is open
-        again they must link again; they did not, since only live hosts were dialled.
+        Two hosts are cut off from each other for longer than the heartbeat limit. When the network
+        is back they must link again; they did not while only live hosts were dialled.
         """
         async with Cluster(engines=1, hosts=2, models=1) as cluster:
             await cluster.publish()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's role: one writes, another takes over, and a paused one changes nothing."""
+"""The planner role: one host writes, another takes over, and a paused one changes nothing."""
 
 import unittest
 
@@ -53,8 +53,8 @@
 
     async def test_a_paused_planner_that_resumes_writes_nothing(self):
         """
-        The planner is paused, its lease lapses, another takes over. The first wakes with a plan
-        made from old news and still believes in its lease. Its write must not go through.
+        The planner is paused, its lease lapses, another takes over. The first resumes with a plan
+        made from old data and still considers its lease valid. Its write must fail.
         """
         await self.update_plan(self.first)
         self.lease_table.gone.add(self.first._ctx.incarnation)
@@ -65,7 +65,7 @@
         self.assertEqual(self.holder(), self.second._ctx.incarnation)
 
     async def test_an_engine_briefly_down_is_not_lost(self):
-        """Reloading all that an engine holds for a hiccup would be moves for nothing."""
+        """Reloading all items of an engine after a short outage would cost needless moves."""
         await self.update_plan(self.first)
         before = self.first.plan
         await self.update_plan(self.first, down=["e0"])
