--- a/peridotdock/controllers.py
+++ b/peridotdock/controllers.py
@@ -22,9 +22,13 @@
 from peridotdock.schema.manifest import Endpoint
 
 ORDER_TIMEOUT_SECONDS = 120.0
+# An order is sent again after this long if the engine's report does not show its effect.
 RESEND_SECONDS = 3.0
+# The lease must stay valid for at least this long when an order is sent.
 SEND_MARGIN_SECONDS = 0.5
+# Time between the commit of an unload and its order, in which hosts stop routing to the item.
 DRAIN_SECONDS = 1.0
+# Interval of the rounds for an engine without pending work.
 IDLE_CHECK_SECONDS = 3.0
 ACTIONS = {State.LOADING: "load", State.UNLOADING: "unload"}
 
--- a/peridotdock/fact_table.py
+++ b/peridotdock/fact_table.py
@@ -58,12 +58,16 @@
 # links within some milliseconds. The age of a fact is understated by as much, which is small
 # against two seconds, the shortest limit that ages are compared with.
 ENCODED_REUSE_SECONDS = 0.05
+# The origin and the topic of a fact.
 Slot = tuple[str, str]
 
 
 @dataclass(frozen=True)
 class KnownFact:
-    """An entry, its decoded body, and when this host received it (monotonic seconds)."""
+    """An entry, its decoded body, and when its origin published it.
+
+    ``at`` is in monotonic seconds of this host: the time of receipt less the entry's age.
+    """
 
     entry: Entry
     fact: Any
--- a/peridotdock/fleet.py
+++ b/peridotdock/fleet.py
@@ -15,18 +15,25 @@
 from peridotdock.manifest import Accepted
 from peridotdock.schema.messages import HeldFact, LedgerFact, LoadFact
 
+# Requests remembered per endpoint as sent, or as ended, since its last report.
 MAX_SENT = 4096
+# Blocks remembered as cached (hints), over all endpoints and at least for each.
 MAX_HINTS = 100_000
 MIN_HINTS = 64
+# Age above which routing penalises a load report as stale.
 STALE_SECONDS = 5.0
+# Units in which load facts carry prefill tokens and ages.
 PREFILL_UNIT_TOKENS = 16
 AGE_UNIT_SECONDS = 0.01
+# Weight of a new observation in the moving average of trust.
 TRUST_GAIN = 0.1
+# Longest and shortest lifetime of a hint, and the factors applied to it after hits and misses.
 HINT_SECONDS = 60.0
 MIN_HINT_SECONDS = 0.5
 HINT_GROWTH = 1.1
 HINT_SHRINK = 0.6
 NEVER = float("-inf")
+# Weight of a new observation in the moving average of the time that a request takes.
 MEAN_GAIN = 0.05
 DEFAULT_LOAD = EngineLoad(0, 0, 0, 8, 10_000.0, 20_000)
 
--- a/peridotdock/leases.py
+++ b/peridotdock/leases.py
@@ -12,7 +12,9 @@
 from peridotdock.errors import Failure, Kind, failed
 
 KEY_PREFIX = "hosts/"
+# Other hosts treat a lease as lapsed after this multiple of its time without a new version.
 LAPSE_FACTOR = 1.5
+# The version that a check names for a missing row.
 NO_ROW_VERSION = 0
 
 
--- a/peridotdock/membership.py
+++ b/peridotdock/membership.py
@@ -15,8 +15,10 @@
 from peridotdock.clock import Clock
 from peridotdock.schema.messages import HostFact
 
+# Interval of heartbeats; beyond this many hosts it grows in proportion to them.
 BEAT_SECONDS = 1.0
 HOSTS_PER_BEAT_SECOND = 70
+# Missed heartbeats after which a host counts as dead.
 SILENT_BEATS = 4
 FORGET_SECONDS = 120.0
 # A host counts as alive for this long after the last link to it was lost: long enough to dial
--- a/peridotdock/planner.py
+++ b/peridotdock/planner.py
@@ -18,6 +18,7 @@
 from peridotdock.placement import make_plan
 
 PLAN_KEY = "plan/head"
+# An engine that is down for this long counts as lost, and its items are loaded elsewhere.
 ENGINE_LOST_SECONDS = 4.0
 
 
--- a/peridotdock/scaling.py
+++ b/peridotdock/scaling.py
@@ -13,7 +13,9 @@
 from peridotdock.items import Item
 from peridotdock.manifest import Accepted
 
+# Load above which :func:`queue_cost` is continued linearly, as the formula diverges at 1.
 LINEAR_COST_LOAD = 0.9
+# Candidates that are compared: engines by load, items for each of them, and target engines.
 MAX_HOT_ENGINES = 8
 MAX_HOT_ITEMS = 6
 MAX_COOL_ENGINES = 8
