--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -167,7 +167,7 @@
             state.load, state.load_at = EngineLoad(3, 1, 900, 8, 8000, 10000), now
             state.add_cached_blocks(blocks[:5], now)
             for n in range(20):
-                state.note_sent(f"r{n}", now, 500)
+                state.record_sent(f"r{n}", now, 500)
         wish = RoutingProfile("m@1", 2000, blocks, 5, 0.49, "d0")
         say(
             "routing decision",
--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -95,7 +95,7 @@
 
     # Observations of this host
 
-    def note_end(self, req: IdentifiedRequest, start: EndpointStart) -> None:
+    def record_end(self, req: IdentifiedRequest, start: EndpointStart) -> None:
         """Note that an endpoint broke off soon after it had been sent a request."""
         content = frozenset({req.content_id})
         self._add(start, self._ctx.clock.monotonic(), content, published=content)
@@ -103,7 +103,7 @@
         self._unpublished = True
         self._judge_if_due()
 
-    def note_answer(self, req: IdentifiedRequest) -> None:
+    def record_answer(self, req: IdentifiedRequest) -> None:
         """Clear a request that was answered successfully of all ends so far."""
         if not self._counts:
             return
--- a/peridotdock/blocklist_store.py
+++ b/peridotdock/blocklist_store.py
@@ -18,7 +18,7 @@
 
 BLOCKED_KEY = "blocked"
 # Interval of the checks for newly blocked requests.
-CHECK_SECONDS = 1.0
+BLOCKLIST_CHECK_SECONDS = 1.0
 # Newest ends that the row holds, well below the size limit of a row.
 MAX_STORED_ENDS = 200
 # Exceptions that decoding a row written by another version may raise.
--- a/peridotdock/decisions/retry_budget.py
+++ b/peridotdock/decisions/retry_budget.py
@@ -16,7 +16,7 @@
 MIN_HOSTS = 8
 
 
-class RetryBudget:
+class SharedRetryBudget:
     """Retries that this host may still send to one service. Times are monotonic seconds.
 
     A restarted host has lost its count of what it sent before. For one window after its start, at
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -73,7 +73,7 @@
                 return outcome
             maybe_ran = maybe_ran or outcome.may_have_run
             if connection_broke(outcome):
-                self._blocklist.note_end(req, choice.state.start)
+                self._blocklist.record_end(req, choice.state.start)
             self._record_failure(req, choice.state, outcome)
             if not self._may_retry(req, outcome, maybe_ran):
                 break
@@ -114,9 +114,9 @@
     def _record_failure(self, req: ModelRequest, state: EndpointState, outcome: Failure) -> None:
         now = self._ctx.clock.monotonic()
         if outcome.kind is Kind.ENDPOINT_REFUSED:
-            state.note_rejection(outcome, now)
+            state.record_rejection(outcome, now)
         elif outcome.kind in RETRY_KINDS:
-            state.note_failure(now)
+            state.record_failure(now)
         self._ctx.timeline.add(
             "attempt_failed",
             outcome.answer.level,
@@ -131,7 +131,7 @@
     ) -> Reply | Failure:
         state = choice.state
         now = self._ctx.clock.monotonic()
-        state.note_sent(req.request_id, now, req.profile.tokens - choice.cached)
+        state.record_sent(req.request_id, now, req.profile.tokens - choice.cached)
         state.add_cached_blocks(req.profile.blocks, now)
         relay = StreamRelay(self._ctx, self._endpoints, state, req, caller)
         body_returned = False
@@ -157,7 +157,7 @@
             return Reply(200, (("x-request-id", req.request_id),), body, EVENT_STREAM)
         finally:
             if not body_returned:
-                state.note_finished(req.request_id, self._ctx.clock.monotonic(), False)
+                state.record_finished(req.request_id, self._ctx.clock.monotonic(), False)
                 await relay.release()
 
     async def _open(
@@ -224,7 +224,7 @@
                 now = clock.monotonic()
                 if now >= deadline:
                     return loss_failure(RequestState.SENT, Loss.DEADLINE)
-                if caller.disconnected():
+                if caller.is_disconnected():
                     return loss_failure(RequestState.SENT, Loss.CALLER_GONE)
                 if now < probe_at:
                     continue
@@ -264,10 +264,10 @@
                 return checked
             self._record_cache_hits(req, choice, checked.usage)
         now = self._ctx.clock.monotonic()
-        state.note_success()
-        state.note_finished(req.request_id, now, whole=True)
+        state.record_success()
+        state.record_finished(req.request_id, now, whole=True)
         if opened.status == 200:
-            self._blocklist.note_answer(req)
+            self._blocklist.record_answer(req)
         content_type = opened.headers.get("content-type", "application/json")
         head = (("x-request-id", req.request_id), ("x-endpoint", state.name))
         return Reply(opened.status, head, body, content_type)
@@ -280,8 +280,8 @@
             choice.state.learn_from_hits(choice.cached, usage.prompt_tokens_details.cached_tokens)
 
     def _record_first_token(self, req: ModelRequest, choice: Choice, began: float) -> None:
-        choice.state.note_first_token(req.request_id)
-        choice.state.note_success()
+        choice.state.record_first_token(req.request_id)
+        choice.state.record_success()
         seconds = self._ctx.clock.monotonic() - began
         label = self._ctx.metrics.item_label(req.profile.item)
         self._ctx.metrics.first_token.labels(label).observe(seconds)
@@ -310,9 +310,9 @@
                 yield frame
         finally:
             self._ctx.metrics.tokens.inc(count)
-            state.note_finished(req.request_id, self._ctx.clock.monotonic(), relay.whole)
+            state.record_finished(req.request_id, self._ctx.clock.monotonic(), relay.whole)
             if relay.whole:
-                self._blocklist.note_answer(req)
+                self._blocklist.record_answer(req)
             self._record_cache_hits(req, choice, relay.usage)
             self._ctx.timeline.add(
                 "stream_ended",
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -44,7 +44,7 @@
     def __init__(self, request: Request):
         self._transport = request.scope["abort"].__self__
 
-    def disconnected(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the caller's connection is closed or closing."""
         return self._transport.is_closing()
 
--- a/peridotdock/fleet.py
+++ b/peridotdock/fleet.py
@@ -93,7 +93,7 @@
         """Return the number of requests sent since the report minus those that ended since."""
         return len(self._sent_since_report) - len(self._ended_since_report)
 
-    def note_sent(self, request_id: str, at: float, tokens: int) -> None:
+    def record_sent(self, request_id: str, at: float, tokens: int) -> None:
         """Count a request as soon as it is sent, before a report can include it."""
         run = SentRequest(at, tokens)
         self.own_requests[request_id] = run
@@ -105,15 +105,15 @@
             # A plain service sends no reports that would remove these entries.
             self.tokens_since_report -= self._sent_since_report.popleft().tokens
 
-    def note_first_token(self, request_id: str) -> None:
+    def record_first_token(self, request_id: str) -> None:
         """Count a request's prefill as done when its first token arrives."""
         run = self._in_prefill.pop(request_id, None)
         if run is not None:
             self.prefill_tokens -= run.tokens
 
-    def note_finished(self, request_id: str, now: float, whole: bool) -> None:
+    def record_finished(self, request_id: str, now: float, whole: bool) -> None:
         """Count a request as ended; complete answers update the mean duration."""
-        self.note_first_token(request_id)
+        self.record_first_token(request_id)
         run = self.own_requests.pop(request_id, None)
         if run is None:
             return
@@ -161,17 +161,17 @@
             self.cached_blocks.clear()
             self.trust = 0.5
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Exclude the endpoint for 0.5 s, doubled with each consecutive failure up to 8 s."""
         self.failure_count = min(self.failure_count + 1, 5)
         self.excluded_until = now + 0.25 * 2**self.failure_count
 
-    def note_rejection(self, outcome: Failure, now: float) -> None:
+    def record_rejection(self, outcome: Failure, now: float) -> None:
         """Back off for the retry-after with which the endpoint rejected a request."""
         if outcome.retry_after is not None:
             self.backoff_until = max(self.backoff_until, now + outcome.retry_after)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the failure count and end the exclusion."""
         self.failure_count = 0
         self.excluded_until = 0.0
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -7,7 +7,7 @@
 from peridotdock import ledger as ledgers
 from peridotdock import manifest as manifests
 from peridotdock.blocklist import Blocklist
-from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
+from peridotdock.blocklist_store import BLOCKLIST_CHECK_SECONDS, BlocklistStore
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.platform import HttpPlatform, Platform, Row
 from peridotdock.context import Context
@@ -76,7 +76,7 @@
         self._blocklist_store_due = asyncio.Event()
         self.blocklist.on_blocked = self._blocklist_store_due.set
         self.controller.on_answer = self._poll_due.set
-        self.facts.listen(self._changed)
+        self.facts.listen(self._on_changed)
 
     async def start(self, entry_address: str) -> None:
         """Open the mesh and start the periodic jobs; ``entry_address`` is published to callers."""
@@ -93,7 +93,7 @@
         every(lambda: DEMAND_SECONDS, self._publish_demand, "demand")
         every(lambda: cfg.watch_seconds, self._publish_ends, "ends")
         every(
-            lambda: CHECK_SECONDS,
+            lambda: BLOCKLIST_CHECK_SECONDS,
             self.blocklist_store.step,
             "block list",
             self._blocklist_store_due,
@@ -168,7 +168,7 @@
             return b""
         return manifests.canonical(self.accepted.document)
 
-    def _changed(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         for origin, topic in slots:
             known = self.facts.get(origin, topic)
             if known is None or origin == self.ctx.cfg.host_id:
--- a/peridotdock/membership.py
+++ b/peridotdock/membership.py
@@ -54,7 +54,7 @@
     def hosts(self) -> frozenset[str]:
         """Return the reachable hosts, without this one."""
 
-    def parted(self, host: str) -> float:
+    def last_reachable_at(self, host: str) -> float:
         """Return when a host that is unreachable now was last reachable (monotonic seconds)."""
 
     def forget(self, host: str) -> None:
@@ -131,7 +131,7 @@
         if origin == self.own.host or origin in self._reached:
             last_seen_at = float("inf")
         elif self._links is not None:
-            last_seen_at = max(known.at, self._links.parted(origin))
+            last_seen_at = max(known.at, self._links.last_reachable_at(origin))
         alive = now - last_seen_at <= self._limit and known.fact.state != "gone"
         return Member(known.fact, alive, last_seen_at)
 
--- a/peridotdock/mesh.py
+++ b/peridotdock/mesh.py
@@ -334,14 +334,14 @@
         over no link or over one, so only the links selected for a fact are visited.
         """
         for origin in {origin for origin, topic in slots if topic == "links"}:
-            self._note_links(origin)
+            self._record_links(origin)
         for slot in slots:
             for link in self._select_links(slot, self._links):
                 if slot[0] not in link.direct:
                     link.dirty.add(slot)
                     link.wake.set()
 
-    def _note_links(self, host: str) -> None:
+    def _record_links(self, host: str) -> None:
         """Update the links that a host reports.
 
         When a peer reports a lost link, it is sent all facts of the host at the other end again.
--- a/peridotdock/relay/aggregation.py
+++ b/peridotdock/relay/aggregation.py
@@ -17,11 +17,11 @@
 
 
 def live_facts(
-    board: FactTable, membership: Membership, topic: str
+    facts: FactTable, membership: Membership, topic: str
 ) -> Iterator[tuple[str, KnownFact]]:
     """Yield the facts known on a topic, by origin, of the hosts that are alive."""
     members = membership.members()
-    for origin, known in board.by_origin(topic).items():
+    for origin, known in facts.by_origin(topic).items():
         if origin in members and members[origin].alive:
             yield origin, known
 
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -38,7 +38,7 @@
         self._waits = waits
         self._grants = grants
         self._permits = permits
-        self._turns = find_iterations()
+        self._iterations = find_iterations()
 
     async def choose_endpoint(
         self, req: RelayRequest, caller: CallerConnection, progress: Progress
@@ -56,7 +56,7 @@
         if failed(found):
             return found
         remaining = req.deadline - self._ctx.clock.monotonic()
-        reason = check_send(remaining, found.seconds, self._turns.median_length())
+        reason = check_send(remaining, found.seconds, self._iterations.median_length())
         if reason is not None:
             return Failure(Kind.HOST_BEHIND, reason, retry_after(self._ctx.rng.random))
         return found
@@ -134,11 +134,11 @@
         if found is None:
             return Failure(Kind.NO_ENDPOINT, progress.service, NO_ENDPOINT_RETRY_SECONDS)
         max_wait = req.first_event_deadline - self._ctx.clock.monotonic()
-        overload = check_wait(found, work, max_wait, req.rank)
-        if overload is None or progress.maybe_ran:
+        excessive = check_wait(found, work, max_wait, req.rank)
+        if excessive is None or progress.maybe_ran:
             return found
-        reason = f"a wait of {overload.wait:.2f} s, {overload.allowed:.2f} allowed"
-        return Failure(Kind.OVERLOADED, reason, overload.retry_after(self._ctx.rng.random))
+        reason = f"a wait of {excessive.wait:.2f} s, {excessive.allowed:.2f} allowed"
+        return Failure(Kind.OVERLOADED, reason, excessive.retry_after(self._ctx.rng.random))
 
 
 def find_suspects(candidates: Sequence[Candidate]) -> set[str]:
--- a/peridotdock/relay/endpoint_notices.py
+++ b/peridotdock/relay/endpoint_notices.py
@@ -30,9 +30,9 @@
         self._host = host
         self._peers = peers
         self._fleet = fleet
-        peers.facts.listen(self._changed)
+        peers.facts.listen(self._on_changed)
 
-    def note_answer(
+    def record_answer(
         self, req: RelayRequest, state: EndpointState, head: AnswerHead, sent: float
     ) -> None:
         """Apply what an answer announces on its endpoint, and publish a change to the hub.
@@ -99,7 +99,7 @@
         if list(map(notice_key, before)) != list(map(notice_key, rows)):
             self._peers.facts.publish(topic, WordsFact(rows))
 
-    def _changed(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         """Apply another host's notices at once, and on the hub publish a change to all hosts."""
         changed_slots = [
             slot
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -112,7 +112,7 @@
     def _control(self, service: str) -> PaceControl:
         return self._pace_controls.setdefault(service, PaceControl())
 
-    def note_gap(self, service: str, key: str, gap: float) -> None:
+    def record_gap(self, service: str, key: str, gap: float) -> None:
         """Adjust the pace by the seconds between two events of one of this host's streams."""
         pacer, pause = self._pacers.get(service), self._pauses.get(service)
         if pacer is not None and pause is not None:
@@ -253,14 +253,14 @@
         find_hub: Callable[[], str],
         send: Callable[[str, object], bool],
         fleet: RelayFleet,
-        turns: LoopIterations,
+        iterations: LoopIterations,
         find_domain: Callable[[str], str],
     ):
         self._ctx = ctx
         self._host = host
         self._find_hub = find_hub
         self._send = send
-        self._turns = turns
+        self._iterations = iterations
         self.server = GrantServer(ctx, fleet, self._answer, find_domain)
         self._last_number = 0
         self._calls: dict[int, GrantCall] = {}
@@ -328,11 +328,12 @@
     ) -> GrantFrame | None:
         """Return the hub's decision; None without a reply or if the hub changes meanwhile."""
         reply = await call.next_reply(
-            caller, GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._turns.median_length()
+            caller,
+            GRANT_TIMEOUT_SECONDS + GRANT_TIMEOUT_ITERATIONS * self._iterations.median_length(),
         )
         if reply is None:
             if not caller.is_disconnected():
-                self._note_silence(call.hub)
+                self._record_silence(call.hub)
             return None
         self._backoff = MIN_HUB_BACKOFF_SECONDS
         while not is_decided(reply):
@@ -348,7 +349,7 @@
         seconds = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait / 1000 * spread))
         return Failure(Kind.OVERLOADED, f"a wait of {wait / 1000:.2f} s at all engines", seconds)
 
-    def _note_silence(self, hub: str) -> None:
+    def _record_silence(self, hub: str) -> None:
         """Back off from a hub that does not reply, so that prompts don't each wait in vain."""
         self._backoff_until = self._ctx.clock.monotonic() + self._backoff
         self._ctx.timeline.add(
--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from peridotdock.blocklist import Blocklist
-from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
+from peridotdock.blocklist_store import BLOCKLIST_CHECK_SECONDS, BlocklistStore
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.context import Context
@@ -95,7 +95,7 @@
         self.endpoints = HttpEndpoints(not_run_header=None)
         self.fleet = RelayFleet(settings.domain, ctx.clock)
         self.peers = Peers(ctx, settings, self.fleet, lambda digest: b"")
-        self.waiting_room = ItemWaits(ctx, self.fleet, self.peers)
+        self.item_waits = ItemWaits(ctx, self.fleet, self.peers)
         mesh = self.peers.mesh
         self.grants = Grants(
             ctx,
@@ -116,7 +116,7 @@
         self.grants.server.spend_permit = self.permits.spend
         self.peers.queued = self.grants.server.queued
         self.blocklist = Blocklist(ctx, self.peers.facts, self.fleet.has_ended, self.peers.is_hub)
-        waits = EndpointWaits(ctx, self.fleet, self.waiting_room, self.permits)
+        waits = EndpointWaits(ctx, self.fleet, self.item_waits, self.permits)
         waits.is_draining = lambda: self.leaving
         chooser = Chooser(ctx, self.fleet, waits, self.grants, self.permits)
         self.service = RelayService(
@@ -129,16 +129,18 @@
             self.blocklist,
             settings.first_start,
         )
-        self.service.sender.on_answer = self.notices.note_answer
-        self.service.on_gap = self.grants.server.note_gap
+        self.service.sender.on_answer = self.notices.record_answer
+        self.service.on_gap = self.grants.server.record_gap
         self.service.on_unreachable = lambda key: self.peers.publish_wants()
-        self.lag = HostMonitor(ctx, find_iterations(), lambda: self.front.in_progress)
-        self.lag.on_change = self._publish_state
+        self.host_monitor = HostMonitor(
+            ctx, find_iterations(), lambda: self.request_handler.in_progress
+        )
+        self.host_monitor.on_change = self._publish_state
         self.quotas = Quotas(ctx, settings.host, self.peers, settings.bounds, find_iterations())
         mesh.on_quota = self.quotas.on_frame
         identifier = Identifier(settings.bounds, self._config_age)
-        self.front = RequestHandler(
-            ctx, adapter.wire, self.service, self.peers, self.lag, identifier, self.quotas
+        self.request_handler = RequestHandler(
+            ctx, adapter.wire, self.service, self.peers, self.host_monitor, identifier, self.quotas
         )
         lease = settings.bounds.order_lease
         machine = str(settings.listen.peers)
@@ -172,7 +174,9 @@
         )
         self._failed_plans = 0
         listen = settings.listen
-        port_router = PortRouter(ctx, adapter, self.front, self.peers.membership, self._ready)
+        port_router = PortRouter(
+            ctx, adapter, self.request_handler, self.peers.membership, self._ready
+        )
         port_router.set_ports(
             listen, settings.metrics.port if settings.metrics is not None else None
         )
@@ -203,8 +207,13 @@
             self._publish_demand,
             "demand",
         )
-        every(self.lag.check_interval, self.lag.check, "lag")
-        every(lambda: CHECK_SECONDS, self.blocklist_store.step, "block list", self.blocklist_due)
+        every(self.host_monitor.check_interval, self.host_monitor.check, "lag")
+        every(
+            lambda: BLOCKLIST_CHECK_SECONDS,
+            self.blocklist_store.step,
+            "block list",
+            self.blocklist_due,
+        )
         every(self._lease_seconds, self._step_lease, "lease", self.lease_due)
         self._tasks.append(asyncio.create_task(self._order()))
         self.ctx.timeline.add("started", detail=str(self.settings.listen.callers))
@@ -295,7 +304,7 @@
         lease. Where a configuration is in force, callers already wait for orders.
         """
         started_for = self.ctx.clock.monotonic() - self._started_at
-        return self.front.deployment is not None or started_for >= DISCOVERY_SECONDS
+        return self.request_handler.deployment is not None or started_for >= DISCOVERY_SECONDS
 
     async def _step_lease(self) -> None:
         if self.leaving or not self._discovery_done():
@@ -314,7 +323,7 @@
         while True:
             for event in events:
                 event.clear()
-            deployment = self.front.deployment
+            deployment = self.request_handler.deployment
             if deployment is not None and self.leadership.holds():
                 began = self.ctx.clock.monotonic()
                 await self._try_plan(deployment)
@@ -350,8 +359,8 @@
 
     def _ready(self) -> bool:
         """Return whether callers may be sent to this host."""
-        known = self.front.deployment is not None
-        return known and not self.leaving and self.lag.trouble is None
+        known = self.request_handler.deployment is not None
+        return known and not self.leaving and self.host_monitor.refusal_reason is None
 
     # Changes of the store's tables
 
@@ -367,17 +376,17 @@
 
     def _publish_state(self) -> None:
         """Publish to other hosts whether callers may be sent to this host, as readiness does."""
-        if self.leaving or self.front.deployment is None:
+        if self.leaving or self.request_handler.deployment is None:
             return
         self.peers.membership.set_state("live" if self._ready() else "starting")
 
     def _set_deployment(self, found: Deployment) -> None:
         """Serve by this configuration from now on, never by an older one again."""
-        current = self.front.deployment
+        current = self.request_handler.deployment
         if current is not None and found.version <= current.version:
             return
-        self.front.deployment = found
-        self.waiting_room.deployment = found
+        self.request_handler.deployment = found
+        self.item_waits.deployment = found
         self.grants.server.set_deployment(found)
         self.quotas.set_deployment(found)
         self._publish_state()
@@ -402,12 +411,12 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, self._note_reload)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         await self.start()
         await stop_requested.wait()
         await self.drain()
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         """Log a reload signal; addresses and bounds are only read at the start of the process."""
         self.ctx.timeline.add(
             "reload", detail="settings are only read at start; nothing was reloaded"
@@ -435,7 +444,7 @@
         await self.leadership.release()
         await clock.sleep(min(ADDRESS_SECONDS * ADDRESS_CACHE_FACTOR, bounds.stopping / 2))
         until = began + bounds.stopping - STOP_MARGIN_SECONDS
-        while self.front.in_progress and clock.monotonic() < until:
+        while self.request_handler.in_progress and clock.monotonic() < until:
             await clock.sleep(DRAIN_POLL_SECONDS)
         self.peers.membership.set_state("gone")
-        self.ctx.timeline.add("stopped", detail=f"{self.front.in_progress} requests left")
+        self.ctx.timeline.add("stopped", detail=f"{self.request_handler.in_progress} requests left")
--- a/peridotdock/relay/hub_calls.py
+++ b/peridotdock/relay/hub_calls.py
@@ -17,8 +17,8 @@
 class HubCalls(Generic[T]):
     """The pending calls of one kind, by number."""
 
-    def __init__(self, turns: LoopIterations):
-        self._turns = turns
+    def __init__(self, iterations: LoopIterations):
+        self._iterations = iterations
         self._last_number = 0
         self._pending: dict[int, asyncio.Future[T]] = {}
 
@@ -37,7 +37,9 @@
         try:
             if not send(number):
                 return None
-            seconds = REPLY_TIMEOUT_SECONDS + REPLY_TIMEOUT_ITERATIONS * self._turns.median_length()
+            seconds = (
+                REPLY_TIMEOUT_SECONDS + REPLY_TIMEOUT_ITERATIONS * self._iterations.median_length()
+            )
             waits = {reply} if caller is None else {reply, caller.disconnected}
             first = asyncio.FIRST_COMPLETED
             await asyncio.wait(waits, timeout=seconds, return_when=first)
--- a/peridotdock/relay/lag.py
+++ b/peridotdock/relay/lag.py
@@ -55,39 +55,39 @@
     def __init__(
         self,
         ctx: Context,
-        turns: LoopIterations,
+        iterations: LoopIterations,
         in_progress: Callable[[], int],
         descriptors: CountDescriptors = count_descriptors,
     ):
         self._ctx = ctx
-        self._turns = turns
-        turns.lag_threshold = BEHIND_SECONDS
+        self._iterations = iterations
+        iterations.lag_threshold = BEHIND_SECONDS
         self._in_progress = in_progress
         self.count = descriptors
         self._accepted = 0
         self._checked_at = ctx.clock.monotonic()
         self._logged_at = float("-inf")
         self._behind_since: float | None = None
-        self.trouble: RefusalReason | None = None
+        self.refusal_reason: RefusalReason | None = None
         self.on_change: Callable[[], None] = lambda: None
         self.descriptors: DescriptorCount | None = None
-        ctx.metrics.loop_lag.set_function(turns.lag)
+        ctx.metrics.loop_lag.set_function(iterations.lag)
 
     def check_interval(self) -> float:
         """Return the seconds until the next check."""
-        healthy = self.trouble is None and self._behind_since is None
+        healthy = self.refusal_reason is None and self._behind_since is None
         return CHECK_SECONDS if healthy else OVERLOADED_CHECK_SECONDS
 
     async def check(self) -> None:
         """Update the metrics since the last check, and log them while the host is overloaded."""
         now = self._ctx.clock.monotonic()
-        lag = self._turns.lag()
+        lag = self._iterations.lag()
         self.descriptors = self.count()
         if self.descriptors is not None:
             self._ctx.metrics.descriptors.labels("open").set(self.descriptors.open)
             self._ctx.metrics.descriptors.labels("most").set(self.descriptors.limit)
-        accepted = self._turns.accepted - self._accepted
-        self._accepted = self._turns.accepted
+        accepted = self._iterations.accepted - self._accepted
+        self._accepted = self._iterations.accepted
         self._ctx.metrics.accepted.inc(accepted)
         seconds = max(now - self._checked_at, 0.001)
         self._checked_at = now
@@ -95,26 +95,26 @@
         self._log_overload(now, lag, accepted / seconds)
 
     def _update_overload(self, now: float, lag: float) -> None:
-        """Set ``trouble`` to the reason for which this host rejects new requests, or None."""
+        """Set ``refusal_reason``: why this host rejects new requests, or None if it does not."""
         was_behind = self._behind_since is not None
         if lag < BEHIND_SECONDS:
             self._behind_since = None
         elif not was_behind:
-            self._behind_since = self._turns.lag_since
+            self._behind_since = self._iterations.lag_since
         behind_for = 0.0 if self._behind_since is None else now - self._behind_since
         free = None if self.descriptors is None else self.descriptors.free
-        trouble = check_host(HostState(lag, behind_for, free))
-        if trouble is not self.trouble:
-            event = "host_ready" if trouble is None else "host_unready"
-            self._ctx.timeline.add(event, "WARNING", detail=trouble or "")
-            self.trouble = trouble
+        refusal_reason = check_host(HostState(lag, behind_for, free))
+        if refusal_reason is not self.refusal_reason:
+            event = "host_ready" if refusal_reason is None else "host_unready"
+            self._ctx.timeline.add(event, "WARNING", detail=refusal_reason or "")
+            self.refusal_reason = refusal_reason
             self.on_change()
         if was_behind and self._behind_since is None:
             self._ctx.timeline.add("loop_caught_up", detail=f"a timer was {lag:.3f} s late")
 
     def _log_overload(self, now: float, lag: float, accepted: float) -> None:
         """Log the state while the loop is late or the host rejects new requests."""
-        healthy = lag < BEHIND_SECONDS and self.trouble is None
+        healthy = lag < BEHIND_SECONDS and self.refusal_reason is None
         if healthy or now - self._logged_at < LOG_INTERVAL_SECONDS:
             return
         self._logged_at = now
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -43,7 +43,7 @@
 FIRST_REPORTS_SECONDS = 1.0
 # Seconds of known demand after which placement relies on it alone: every busy model has been
 # requested by then.
-DEMAND_SETTLED_SECONDS = 8.0
+DEMAND_KNOWN_SECONDS = 8.0
 # Seconds after which all hosts' facts on running requests and demand have arrived.
 HOST_FACTS_SECONDS = 1.0
 # Answers that mean that an order is not carried out, now or later.
@@ -222,29 +222,29 @@
             )
             for record in records
         ]
-        held_back = {
+        excluded = {
             record.entry.endpoint_id
             for record in records
             if record.in_flight
             or record.needs_report
             or not self._leadership.may_order(record.entry.endpoint_id)
-            or (now < record.paused_until and not record.freeing and not record.loading)
+            or (now < record.paused_until and not record.freeing_adapters and not record.loading)
         }
         limiter = self._load_limiter(service)
         reserved = self._open_reservations(now)
-        settled = self._demand_settled(demand, now)
-        stream = self._fleet.estimate_work(service.name, None).service_seconds
-        host_facts = self._has_host_facts(now)
+        demand_known = self._demand_known(demand, now)
+        stream_seconds = self._fleet.estimate_work(service.name, None).service_seconds
+        running_known = self._running_known(now)
         for step in make_plan(
             spec,
             views,
             demand,
             limiter.available(now),
             reserved,
-            held_back,
-            settled,
-            stream,
-            host_facts,
+            excluded,
+            demand_known,
+            stream_seconds,
+            running_known,
         ):
             if step.evicted_for:
                 self._reservations[step.engine] = Reservation(
@@ -259,15 +259,15 @@
         state = self._fleet.states.get(record.entry.endpoint_id)
         return record.entry.draining or (state is not None and state.leaving)
 
-    def _demand_settled(self, demand: Mapping[str, Demand], now: float) -> bool:
+    def _demand_known(self, demand: Mapping[str, Demand], now: float) -> bool:
         """Return whether demand has been known for long enough to place models by it alone."""
         if not any(found.peak_rate for found in demand.values()):
             self._demand_since = None
         elif self._demand_since is None:
             self._demand_since = now
-        return self._demand_since is not None and now - self._demand_since > DEMAND_SETTLED_SECONDS
+        return self._demand_since is not None and now - self._demand_since > DEMAND_KNOWN_SECONDS
 
-    def _has_host_facts(self, now: float) -> bool:
+    def _running_known(self, now: float) -> bool:
         """Return whether all hosts have had the time to report what runs where."""
         since = self._began if self._demand_since is None else self._demand_since
         return now - max(since, self._began) >= HOST_FACTS_SECONDS
@@ -305,7 +305,9 @@
                 record = self._check_restart(record, report)
                 record.apply_report(report, now)
             # Reading it again before it can have changed would only load the engine.
-            waits = record.needs_report or record.loading or record.dropping or record.freeing
+            waits = (
+                record.needs_report or record.loading or record.unloading or record.freeing_adapters
+            )
             record.paused_until = now + REFUSED_PAUSE_SECONDS if waits else 0.0
         finally:
             record.in_flight = False
@@ -396,7 +398,7 @@
         elif outcome is OrderAnswer.ACCEPTED and order.adapter and order.action is Action.UNLOAD:
             # Requests still use the adapter: it is unloaded when they have ended, and takes up its
             # slot until then. A report shows whether the order was counted.
-            record.freeing.add(f"{order.model}/{order.adapter}")
+            record.freeing_adapters.add(f"{order.model}/{order.adapter}")
             record.needs_report = True
             record.ordered_at = now
             record.paused_until = now + REFUSED_PAUSE_SECONDS
@@ -406,10 +408,10 @@
                 await self._ctx.clock.sleep(ADAPTER_LOAD_SECONDS)
             elif order.action is Action.UNLOAD:
                 await self._ctx.clock.sleep(SWAP_DELAY_SECONDS)
-        elif outcome is OrderAnswer.BUSY and record.dropping:
+        elif outcome is OrderAnswer.BUSY and record.unloading:
             # Requests still use the model to be unloaded: the load waits until they end.
             least, most = SWAP_RETRY_SECONDS
-            age = now - min(record.dropping.values())
+            age = now - min(record.unloading.values())
             await self._ctx.clock.sleep(min(most, max(least, age / 2)))
         elif outcome is OrderAnswer.HOLDS_ALREADY and order.adapter:
             # An unused adapter is unloaded at once, and that counts as an order.
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -61,12 +61,12 @@
 class Peers:
     """This host's links to the others and the facts exchanged over them."""
 
-    def __init__(self, ctx: Context, settings: HostSettings, fleet: RelayFleet, give_body):
+    def __init__(self, ctx: Context, settings: HostSettings, fleet: RelayFleet, find_body):
         self._ctx = ctx
         self._settings = settings
         self._fleet = fleet
         self.facts = FactTable(settings.host, ctx.epoch, ctx.clock)
-        self.mesh = Mesh(ctx, self.facts, give_body, self._choose_links, self._select_links)
+        self.mesh = Mesh(ctx, self.facts, find_body, self._choose_links, self._select_links)
         self._lease_holder = ""
         self._linked_hub = ""
         own = HostFact(
@@ -92,7 +92,7 @@
         self.on_resigned: Callable[[int, Handover], None] = lambda term, handover: None
         self.on_lease: Callable[[int, int], None] = lambda term, version: None
         self.on_term: Callable[[int], None] = lambda term: None
-        self.facts.listen(self._changed)
+        self.facts.listen(self._on_changed)
 
     async def start(self) -> None:
         """Open the links."""
@@ -162,7 +162,7 @@
         lost = [name for name in others if name not in linked and not members[name].alive]
         return [self._ctx.rng.choice(lost)] if lost else []
 
-    def _changed(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         for origin, topic in slots:
             known = self.facts.get(origin, topic)
             if known is None:
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -29,13 +29,13 @@
     """Requests and issues permits on one host, which may itself be the hub."""
 
     def __init__(
-        self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet, turns: LoopIterations
+        self, ctx: Context, host: str, peers: Peers, fleet: RelayFleet, iterations: LoopIterations
     ):
         self._ctx = ctx
         self._host = host
         self._peers = peers
         self._fleet = fleet
-        self._hub_calls: HubCalls[PermitGiven] = HubCalls(turns)
+        self._hub_calls: HubCalls[PermitGiven] = HubCalls(iterations)
         self._permits = Permits()
 
     def refresh(self) -> None:
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -42,7 +42,7 @@
     """Checks quotas on one host, which may itself be the hub."""
 
     def __init__(
-        self, ctx: Context, host: str, peers: Peers, bounds: Bounds, turns: LoopIterations
+        self, ctx: Context, host: str, peers: Peers, bounds: Bounds, iterations: LoopIterations
     ):
         self._ctx = ctx
         self._host = host
@@ -51,7 +51,7 @@
         self._own = HostQuotas(bounds.quota)
         self._hub: HubQuotas | None = None
         self._quotas: Mapping[str, Quota] = {}
-        self._hub_calls: HubCalls[int] = HubCalls(turns)
+        self._hub_calls: HubCalls[int] = HubCalls(iterations)
         self._silent_count = 0
         self._silence_logged_at = float("-inf")
 
@@ -104,7 +104,7 @@
         if wait is not None:
             return wait
         if not caller.is_disconnected():
-            self._note_silence(hub, name)
+            self._record_silence(hub, name)
         return self._own.take_local(name, quota, cost, len(self._peers.known_hosts()), now)
 
     def _read_hub_quotas(self) -> str:
@@ -127,7 +127,7 @@
         wait = await self._hub_calls.call(send, caller)
         return None if wait is None else wait / 1000
 
-    def _note_silence(self, hub: str, name: str) -> None:
+    def _record_silence(self, hub: str, name: str) -> None:
         """Log, at a limited rate, that requests were decided without a reply of the hub."""
         self._silent_count += 1
         now = self._ctx.clock.monotonic()
--- a/peridotdock/relay/reachability.py
+++ b/peridotdock/relay/reachability.py
@@ -21,13 +21,13 @@
 
     def __init__(
         self,
-        board: FactTable,
+        facts: FactTable,
         clock: Clock,
         host: str,
         peers: Callable[[], set[str]],
         last_received: Callable[[str], float],
     ):
-        self._board = board
+        self._facts = facts
         self._clock = clock
         self._host = host
         self._peers = peers
@@ -36,9 +36,9 @@
         self._found: frozenset[str] = frozenset()
         self._unreachable_since: dict[str, float] = {}
         self._changed_at: float | None = clock.monotonic()
-        board.listen(self._changed)
+        facts.listen(self._on_changed)
 
-    def _changed(self, slots: list[Slot]) -> None:
+    def _on_changed(self, slots: list[Slot]) -> None:
         if self._changed_at is None and any(topic == "links" for _, topic in slots):
             self._changed_at = self._clock.monotonic()
 
@@ -49,7 +49,7 @@
             self._changed_at = None
         return self._found
 
-    def parted(self, host: str) -> float:
+    def last_reachable_at(self, host: str) -> float:
         """Return when a host that is unreachable now was last reachable (monotonic seconds)."""
         return self._unreachable_since.get(host, float("-inf"))
 
@@ -84,5 +84,5 @@
         return frozenset(found - {self._host})
 
     def _published_links(self, host: str) -> Collection[str]:
-        known = self._board.get(host, "links")
+        known = self._facts.get(host, "links")
         return known.fact.peers if known is not None else ()
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -34,9 +34,9 @@
 class EngineRecord:
     """One start of an engine, as the lease holder knows it. Times are monotonic seconds.
 
-    ``loading`` maps models to when their load should finish, ``dropping`` to when their unload was
-    accepted. ``freeing`` are adapters, as MODEL/NAME, that are unloaded once the requests that use
-    them have ended.
+    ``loading`` maps models to when their load should finish, ``unloading`` to when their unload was
+    accepted. ``freeing_adapters`` are adapters, as MODEL/NAME, that are unloaded once the requests
+    that use them have ended.
 
     ``started_ms`` identifies the start: the entry may still be that of the previous start, where
     the engine can't reach the store. ``seq`` counts the accepted orders, as far as known.
@@ -50,8 +50,8 @@
     seq: int = 0
     models: dict[str, set[str]] = field(default_factory=dict)
     loading: dict[str, float] = field(default_factory=dict)
-    dropping: dict[str, float] = field(default_factory=dict)
-    freeing: set[str] = field(default_factory=set)
+    unloading: dict[str, float] = field(default_factory=dict)
+    freeing_adapters: set[str] = field(default_factory=set)
     needs_report: bool = True
     unreported: bool = True
     unreachable: bool = False
@@ -74,7 +74,7 @@
             return
         done = {model: at + seconds for model, seconds in update.coming.items()}
         self.loading |= {model: when for model, when in done.items() if when > now}
-        self.dropping |= dict.fromkeys(update.dropping, at)
+        self.unloading |= dict.fromkeys(update.dropping, at)
 
     def update_entry(self, entry: EndpointEntry) -> None:
         """Apply the engine's entry; where it differs from the record, a report is needed.
@@ -92,8 +92,8 @@
         for name in [name for name in self.loading if name in entry.models]:
             del self.loading[name]
             self.models[name] = set(entry.models[name].adapters)
-        for name in [name for name in self.dropping if name not in entry.models]:
-            del self.dropping[name]
+        for name in [name for name in self.unloading if name not in entry.models]:
+            del self.unloading[name]
             self.models.pop(name, None)
         listed = {name: set(model.adapters) for name, model in entry.models.items()}
         if listed != self.models:
@@ -112,18 +112,18 @@
             return
         self.unreported = False
         # Busy with an order of another host: its effect only shows when it is done.
-        self.needs_report = report.busy and not (self.loading or self.dropping)
+        self.needs_report = report.busy and not (self.loading or self.unloading)
         self.seq = report.seq
         self.models = {name: set(m.adapters) for name, m in report.models.items()}
         there = {f"{name}/{adapter}" for name, m in self.models.items() for adapter in m}
-        self.freeing &= there
+        self.freeing_adapters &= there
         for item in report.coming:
             model, _, adapter = item.partition("/")
             self.models.setdefault(model, set()).add(adapter)
         if report.busy:
             return
         self.loading = {name: at for name, at in self.loading.items() if at > now}
-        self.dropping.clear()
+        self.unloading.clear()
 
     def order_accepted(self, order: EngineOrder, ready_at: float, now: float) -> None:
         """Record that the engine accepted an order; a load is done at ``ready_at``."""
@@ -141,14 +141,14 @@
             self.loading[order.model] = ready_at
             self.loaded_at[order.model] = ready_at
         else:
-            self.dropping[order.model] = now
+            self.unloading[order.model] = now
 
     def report_due(self, now: float) -> bool:
         """Return whether a report is needed to know the engine's state."""
-        late = any(at + LOAD_SLACK_SECONDS < now for at in self.loading.values())
-        late = late or any(at + UNLOAD_SLACK_SECONDS < now for at in self.dropping.values())
+        overdue = any(at + LOAD_SLACK_SECONDS < now for at in self.loading.values())
+        overdue = overdue or any(at + UNLOAD_SLACK_SECONDS < now for at in self.unloading.values())
         return (
-            (self.needs_report or late or bool(self.freeing))
+            (self.needs_report or overdue or bool(self.freeing_adapters))
             and now >= self.paused_until
             and not self.in_flight
         )
@@ -171,12 +171,12 @@
             domain=self.entry.domain,
             models=models,
             loading=frozenset(self.loading),
-            unloading=frozenset(self.dropping),
+            unloading=frozenset(self.unloading),
             in_memory=self.entry.in_memory,
             on_disk=self.entry.on_disk,
             busy=bool(self.loading or self.needs_report) or now < self.paused_until,
             queued_tokens=self.pressure.value,
-            freeing_adapter=bool(self.freeing),
+            freeing_adapter=bool(self.freeing_adapters),
             unanswered=unanswered,
             running=running,
             recently_loaded=frozenset(
@@ -194,8 +194,8 @@
             return False
         if (
             self.loading
-            or self.dropping
-            or self.freeing
+            or self.unloading
+            or self.freeing_adapters
             or self.entry.started_ms != self.started_ms
         ):
             return True
@@ -208,8 +208,8 @@
         items += [f"{name}/{a}" for name, adapters in self.models.items() for a in adapters]
         return EngineNews(
             endpoint=self.entry.endpoint_id,
-            items=[item for item in items if item not in self.freeing],
-            dropping=sorted(self.dropping),
+            items=[item for item in items if item not in self.freeing_adapters],
+            dropping=sorted(self.unloading),
             coming={name: round(max(0.0, at - now), 2) for name, at in self.loading.items()},
             born=self.started_ms,
         )
--- a/peridotdock/relay/request_handler.py
+++ b/peridotdock/relay/request_handler.py
@@ -63,8 +63,8 @@
         head = self._wire.read_request(request.headers)
         if failed(head):
             return self._refuse(head, "")
-        if self._monitor.trouble is not None:
-            return self._reject_overloaded(self._monitor.trouble, head.attempt_id)
+        if self._monitor.refusal_reason is not None:
+            return self._reject_overloaded(self._monitor.refusal_reason, head.attempt_id)
         deployment = self.deployment
         if deployment is None:
             return self._refuse(
@@ -141,9 +141,9 @@
         self.in_progress -= 1
         caller.stop_watching()
 
-    def _reject_overloaded(self, trouble: RefusalReason, attempt_id: str) -> Response:
+    def _reject_overloaded(self, refusal_reason: RefusalReason, attempt_id: str) -> Response:
         """Refuse a request while the host is overloaded, and close its connection."""
-        failure = Failure(Kind.HOST_BEHIND, trouble, retry_after(self._ctx.rng.random))
+        failure = Failure(Kind.HOST_BEHIND, refusal_reason, retry_after(self._ctx.rng.random))
         response = self._refuse(failure, attempt_id)
         response.headers.add(b"connection", b"close")
         return response
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -88,7 +88,7 @@
         self._wire = wire
         self._endpoints = endpoints
         self._clock = clock
-        self._turns = find_iterations()
+        self._iterations = find_iterations()
         self.on_answer: OnAnswer = lambda req, state, head, sent_at: None
 
     async def send(
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -8,7 +8,7 @@
 from peridotdock.decisions.choice import Prediction, uncached_tokens
 from peridotdock.decisions.health import is_overdue
 from peridotdock.decisions.overload import ITERATIONS_TO_ANSWER
-from peridotdock.decisions.retry_budget import RetryBudget
+from peridotdock.decisions.retry_budget import SharedRetryBudget
 from peridotdock.deployment import Route
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.loop_iterations import find_iterations
@@ -56,20 +56,20 @@
         self.blocklist = blocklist
         self.sender = Sender(wire, endpoints, ctx.clock)
         self._bounds = bounds
-        self._allowances: dict[str, RetryBudget] = {}
-        self._turns = find_iterations()
+        self._retry_budgets: dict[str, SharedRetryBudget] = {}
+        self._iterations = find_iterations()
         self._started_at = float("-inf") if first_start else ctx.clock.monotonic()
         self.hosts = 1
         self.on_unreachable: Callable[[str], None] = lambda key: None
         self.on_gap: Callable[[str, str, float], None] = lambda service, key, seconds: None
 
-    def _allowance(self, service: str) -> RetryBudget:
+    def _retry_budget(self, service: str) -> SharedRetryBudget:
         bounds = self._bounds
-        found = self._allowances.get(service)
+        found = self._retry_budgets.get(service)
         if found is None:
             share, extra, window = bounds.retry_share, bounds.retry_extra, bounds.retry_window
-            found = RetryBudget(share, extra, window, self._started_at)
-            self._allowances[service] = found
+            found = SharedRetryBudget(share, extra, window, self._started_at)
+            self._retry_budgets[service] = found
         return found
 
     def choose_service(self, route: Route) -> Progress:
@@ -77,7 +77,7 @@
         names = [share.service for share in route.shares]
         weights = [share.weight for share in route.shares]
         name = names[0] if len(names) == 1 else self.ctx.rng.choices(names, weights)[0]
-        self._allowance(name).count_request(self.ctx.clock.monotonic())
+        self._retry_budget(name).count_request(self.ctx.clock.monotonic())
         return Progress(name)
 
     async def open_answer(
@@ -119,7 +119,7 @@
         prediction = await self._chooser.choose_endpoint(req, caller, progress)
         return prediction if failed(prediction) else self.blocklist.refusal(req) or prediction
 
-    def note_gap(self, state: EndpointState, service: str, seconds: float, events: int) -> None:
+    def record_gap(self, state: EndpointState, service: str, seconds: float, events: int) -> None:
         """Record the seconds since the previous events of a stream; ``events`` arrived at once."""
         self.fleet.record_event_gap(service, seconds / events)
         self.on_gap(service, state.key, seconds)
@@ -144,7 +144,7 @@
             return False
         if failed(found) and found.kind is Kind.ENDPOINT_UNREACHABLE:
             return True
-        return self._allowance(progress.service).take(now, self.hosts)
+        return self._retry_budget(progress.service).take(now, self.hosts)
 
     def may_resume_elsewhere(
         self, req: RelayRequest, progress: Progress, state: EndpointState
@@ -158,7 +158,7 @@
         if not req.route.resumable or progress.maybe_ran >= req.route.max_sends:
             return False
         now = self.ctx.clock.monotonic()
-        if not self._allowance(progress.service).available(now, self.hosts):
+        if not self._retry_budget(progress.service).available(now, self.hosts):
             return False
         states = self.fleet.usable(progress.service, req.head.inference)
         return any(other is not state and not other.health.suspect(now) for other in states)
@@ -201,7 +201,7 @@
                 else await self._read(req, caller, progress.service, sent, first_event_timeout)
             )
             self._record_outcome(req, state, found, progress)
-            self._note_overdue(req, state, found, prediction.seconds, started_at)
+            self._record_overdue(req, state, found, prediction.seconds, started_at)
             streaming = isinstance(found, StreamSource)
             return found
         finally:
@@ -281,7 +281,7 @@
             return body
         self.fleet.request_ended(sent.state, req.id, service, complete=True)
         if sent.head.status in SUCCESS:
-            self.blocklist.note_answer(req)
+            self.blocklist.record_answer(req)
         return CompleteAnswer(sent.state, sent.head, body)
 
     def _record_outcome(
@@ -300,9 +300,9 @@
             return
         progress.maybe_ran += found.may_have_run
         progress.refusals += found.kind in NOT_RUN_KINDS
-        self.note_loss(req, state, found)
+        self.record_loss(req, state, found)
 
-    def _note_overdue(
+    def _record_overdue(
         self,
         req: RelayRequest,
         state: EndpointState,
@@ -320,11 +320,11 @@
             return
         now = self.ctx.clock.monotonic()
         if is_overdue(
-            now - started_at, expected, ITERATIONS_TO_ANSWER * self._turns.median_length()
+            now - started_at, expected, ITERATIONS_TO_ANSWER * self._iterations.median_length()
         ):
             state.health.record_overdue(now)
 
-    def note_loss(
+    def record_loss(
         self, req: RelayRequest, state: EndpointState, found: Failure, streamed: float | None = None
     ) -> None:
         """Record a lost send against the endpoint, unless the caller or the deadline ended it.
@@ -346,7 +346,7 @@
             state.health.record_loss(now)
         just_begun = streamed is None or streamed < BLAMELESS_STREAM_SECONDS
         if connection_broke(found) and just_begun:
-            self.blocklist.note_end(req, state.start)
+            self.blocklist.record_end(req, state.start)
         self.ctx.timeline.add(
             "send_lost",
             found.answer.level,
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -38,10 +38,10 @@
             return None
         pause = now - since
         if pause > self.longest:
-            self._note_longest(state, event_id, now, pause)
+            self._record_longest(state, event_id, now, pause)
         return pause
 
-    def _note_longest(
+    def _record_longest(
         self, state: EndpointState, event_id: int | None, now: float, pause: float
     ) -> None:
         self.longest = pause
@@ -97,10 +97,10 @@
             await source.close(caller)
         if outcome is None:
             pauses.report(source.state)
-            service.blocklist.note_answer(req)
+            service.blocklist.record_answer(req)
             return
         streamed = service.ctx.clock.monotonic() - source.started_at
-        service.note_loss(req, source.state, outcome, streamed)
+        service.record_loss(req, source.state, outcome, streamed)
         found = await _resume(service, req, caller, progress, outcome)
         if failed(found):
             service.ctx.timeline.add(
@@ -138,7 +138,7 @@
         if events:
             gap = pauses.note(source.state, events[0].id)
             if gap is not None:
-                service.note_gap(source.state, progress.service, gap, len(events))
+                service.record_gap(source.state, progress.service, gap, len(events))
         for event in events:
             if event.id is not None:
                 if progress.last_id is not None and event.id <= progress.last_id:
--- a/peridotdock/requests.py
+++ b/peridotdock/requests.py
@@ -107,7 +107,7 @@
 class CallerConnection(Protocol):
     """The connection between a caller and this host."""
 
-    def disconnected(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the caller's connection is closed or closing."""
 
 
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -72,14 +72,14 @@
             self._ctx.metrics.sends.labels(str(attempt + 1)).inc()
             outcome = await self._call_once(req, state, caller)
             if not failed(outcome):
-                state.note_success()
+                state.record_success()
                 return outcome
             maybe_ran = maybe_ran or outcome.may_have_run
             now = self._ctx.clock.monotonic()
             if outcome.kind is Kind.ENDPOINT_REFUSED:
-                state.note_rejection(outcome, now)
+                state.record_rejection(outcome, now)
             else:
-                state.note_failure(now)
+                state.record_failure(now)
             if outcome.kind not in RETRY_KINDS or not (req.repeatable or not maybe_ran):
                 break
         return mark_maybe_ran(outcome, maybe_ran) if failed(outcome) else outcome
@@ -109,14 +109,14 @@
         headers = {k: v for k, v in req.headers.items() if k.lower() not in HOP_HEADERS}
         headers["x-request-id"] = req.request_id
         call = Call(req.method, req.path, headers, req.body, once=not req.repeatable)
-        state.note_sent(req.request_id, self._ctx.clock.monotonic(), 0)
+        state.record_sent(req.request_id, self._ctx.clock.monotonic(), 0)
         whole = False
         try:
             reply = await self._wait_for_reply(self._exchange(state, call, req), req, caller)
             whole = not failed(reply)
             return reply
         finally:
-            state.note_finished(req.request_id, self._ctx.clock.monotonic(), whole)
+            state.record_finished(req.request_id, self._ctx.clock.monotonic(), whole)
 
     async def _exchange(
         self, state: EndpointState, call: Call, req: ServiceRequest
@@ -151,7 +151,7 @@
                     return task.result()
                 if left <= 0:
                     return loss_failure(RequestState.SENT, Loss.DEADLINE)
-                if caller.disconnected():
+                if caller.is_disconnected():
                     return loss_failure(RequestState.SENT, Loss.CALLER_GONE)
         finally:
             if not task.done():
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -178,7 +178,7 @@
         silence_deadline = clock.monotonic() + self._ctx.cfg.silence_seconds
         while True:
             now = clock.monotonic()
-            if self._caller.disconnected():
+            if self._caller.is_disconnected():
                 return loss_failure(RequestState.FIRST_BYTE, Loss.CALLER_GONE)
             if now >= self._req.deadline:
                 return loss_failure(RequestState.FIRST_BYTE, Loss.DEADLINE)
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -98,7 +98,7 @@
         return self
 
     async def _until_known(self):
-        await self.until(lambda: all(host.front.deployment for host in self.hosts))
+        await self.until(lambda: all(host.request_handler.deployment for host in self.hosts))
         runners = [*self.engines.values(), *self.pages.values()]
         names = {runner.name for runner in runners if not runner.ended}
         await self.until(lambda: all(host.fleet.states.keys() == names for host in self.hosts))
--- a/tests/relay/test_connections.py
+++ b/tests/relay/test_connections.py
@@ -137,7 +137,7 @@
     """Failure guarded against: a connection made during a stall of the host counts as failed."""
 
     @params(("in the next iteration", 1), ("an iteration later", 2), ("two iterations later", 3))
-    def test_a_stall_while_connecting_is_not_held_against_the_endpoint(self, name, turns):
+    def test_a_stall_while_connecting_is_not_held_against_the_endpoint(self, name, iterations):
         async def check():
             loop = asyncio.get_running_loop()
             connect, stalls = loop.sock_connect, []
@@ -145,7 +145,7 @@
             async def connect_and_stall(sock, address):
                 if address[1] == port:
                     stalls.append(address)
-                    call_after_iterations(turns, partial(time.sleep, STALL_SECONDS))
+                    call_after_iterations(iterations, partial(time.sleep, STALL_SECONDS))
                 await connect(sock, address)
 
             async with Deployment() as found:
@@ -157,10 +157,12 @@
         asyncio.run(asyncio.wait_for(check(), 30))
 
 
-def call_after_iterations(turns, work):
+def call_after_iterations(iterations, work):
     """Call ``work`` after that many loop iterations."""
     loop = asyncio.get_running_loop()
-    loop.call_soon(work if turns == 1 else partial(call_after_iterations, turns - 1, work))
+    loop.call_soon(
+        work if iterations == 1 else partial(call_after_iterations, iterations - 1, work)
+    )
 
 
 class SilentEndpointTest(unittest.TestCase):
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -20,7 +20,7 @@
     retry_after,
 )
 from peridotdock.decisions.placing import make_plan
-from peridotdock.decisions.retry_budget import RetryBudget
+from peridotdock.decisions.retry_budget import SharedRetryBudget
 from peridotdock.decisions.waiting import Absence, decide_wait
 from peridotdock.deployment import EngineSpec, Model
 
@@ -134,12 +134,12 @@
         self.assertLess(health.slowness(20.0), 1.3)
 
 
-class RetryBudgetTest(unittest.TestCase):
+class SharedRetryBudgetTest(unittest.TestCase):
     @params(1, 3, 9, 67, 350)
     def test_retries_of_all_hosts_stay_within_the_bound(self, hosts):
         """A service in trouble gets more retries over all hosts than its operators allow."""
         share, extra, window = 0.2, 58, 10.0
-        budgets = [RetryBudget(share, extra, window) for _ in range(hosts)]
+        budgets = [SharedRetryBudget(share, extra, window) for _ in range(hosts)]
         retries = []
         for step in range(400):
             now = step * 0.1
@@ -157,7 +157,7 @@
         share, extra, window, hosts = 0.2, 172, 10.0, 60
         retries, requests = 0, 0
         for began, first in ((-window, 0.0), (3.0, 3.0)):
-            rows = [RetryBudget(share, extra, window, began) for _ in range(hosts)]
+            rows = [SharedRetryBudget(share, extra, window, began) for _ in range(hosts)]
             for step in range(5):
                 for row in rows:
                     row.count_request(first + step * 0.1)
@@ -166,7 +166,7 @@
         self.assertLessEqual(retries, share * requests + extra)
 
     def test_a_quiet_service_still_gets_a_few(self):
-        budget = RetryBudget(0.2, 58, 10.0)
+        budget = SharedRetryBudget(0.2, 58, 10.0)
         self.assertTrue(budget.take(0.0, 9))
 
 
--- a/tests/relay/test_hubs.py
+++ b/tests/relay/test_hubs.py
@@ -88,7 +88,7 @@
             await found.until(lambda: any(h.leadership.holds() for h in found.hosts))
             [holder] = [h for h in found.hosts if h.leadership.holds()]
             for host in found.hosts:
-                host.front.deployment = None
+                host.request_handler.deployment = None
             await holder.leadership.release()
             await found.until(lambda: any(h.leadership.holds() for h in found.hosts))
 
@@ -105,4 +105,4 @@
             refused.store._url = f"http://{free_address()}"
             refused.store.suspect()
             found.configure(version=7)
-            await found.until(lambda: refused.front.deployment.version == 7, seconds=4.0)
+            await found.until(lambda: refused.request_handler.deployment.version == 7, seconds=4.0)
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -32,12 +32,12 @@
     )
     def test_what_is_read_has_an_earliest_time(self, name, busy, idle, expected):
         clock = FakeClock()
-        turns = LoopIterations(clock.monotonic)
+        iterations = LoopIterations(clock.monotonic)
         clock.time += busy
-        turns.end()
+        iterations.end()
         clock.time += idle
-        turns.begin(None)
-        self.assertAlmostEqual(expected, clock.time - turns.earliest_arrival(), msg=name)
+        iterations.begin(None)
+        self.assertAlmostEqual(expected, clock.time - iterations.earliest_arrival(), msg=name)
 
     @params(
         ("a long iteration", 0.7, 0.0, 0.0, 0.7),
@@ -46,16 +46,16 @@
     )
     def test_lag_is_how_late_a_timer_was(self, name, busy, waited, timeout, expected):
         clock = FakeClock()
-        turns = LoopIterations(clock.monotonic)
+        iterations = LoopIterations(clock.monotonic)
         clock.time += busy
-        turns.end()
+        iterations.end()
         clock.time += waited
-        turns.begin(timeout)
-        self.assertAlmostEqual(expected, turns.lag(), msg=name)
-        turns.end()
+        iterations.begin(timeout)
+        self.assertAlmostEqual(expected, iterations.lag(), msg=name)
+        iterations.end()
         clock.time += 2.5
-        turns.begin(None)
-        self.assertAlmostEqual(0.0, turns.lag(), msg="the last second only")
+        iterations.begin(None)
+        self.assertAlmostEqual(0.0, iterations.lag(), msg="the last second only")
 
     def test_a_blocked_loop_shows_lag(self):
         async def check():
@@ -77,26 +77,26 @@
     def make_monitor(self, count=COUNT):
         clock = FakeClock()
         ctx = build_context(CFG, clock)
-        turns = LoopIterations(clock.monotonic)
-        return clock, ctx, turns, HostMonitor(ctx, turns, lambda: 7, lambda: count)
+        iterations = LoopIterations(clock.monotonic)
+        return clock, ctx, iterations, HostMonitor(ctx, iterations, lambda: 7, lambda: count)
 
-    def run_late_iteration(self, clock, turns, seconds):
-        turns.end()
-        turns.begin(0)
+    def run_late_iteration(self, clock, iterations, seconds):
+        iterations.end()
+        iterations.begin(0)
         clock.time += seconds
-        turns.end()
-        turns.begin(0)
+        iterations.end()
+        iterations.begin(0)
 
-    def wait(self, clock, turns, seconds):
-        turns.end()
+    def wait(self, clock, iterations, seconds):
+        iterations.end()
         clock.time += seconds
-        turns.begin(seconds)
+        iterations.begin(seconds)
 
     def test_a_late_loop_is_logged_at_most_every_five_seconds(self):
-        clock, ctx, turns, monitor = self.make_monitor()
+        clock, ctx, iterations, monitor = self.make_monitor()
         for _ in range(12):
-            self.run_late_iteration(clock, turns, 1.0)
-            turns.accepted += 30
+            self.run_late_iteration(clock, iterations, 1.0)
+            iterations.accepted += 30
             asyncio.run(monitor.check())
         lines = [event.detail for event in ctx.timeline.select(Filter()) if "behind" in event.name]
         self.assertEqual(3, len(lines), "one each five seconds")
@@ -105,16 +105,16 @@
             "40 of 4100 descriptors",
             lines[-1],
         )
-        turns.end()
+        iterations.end()
         clock.time += 3.0
-        turns.begin(None)
+        iterations.begin(None)
         asyncio.run(monitor.check())
         self.assertEqual("loop_caught_up", ctx.timeline.select(Filter())[-1].name)
 
     def test_metrics_show_the_same(self):
-        clock, ctx, turns, monitor = self.make_monitor()
-        self.run_late_iteration(clock, turns, 0.5)
-        turns.accepted = 3
+        clock, ctx, iterations, monitor = self.make_monitor()
+        self.run_late_iteration(clock, iterations, 0.5)
+        iterations.accepted = 3
         asyncio.run(monitor.check())
         text = ctx.metrics.render().decode()
         self.assertIn("peridotdock_loop_lag_seconds 0.5", text)
@@ -148,13 +148,13 @@
         Its loop became late right after a check, and the time was counted from the next check, a
         second later; further checks came once a second, with a jitter of a tenth.
         """
-        clock, _, turns, monitor = self.make_monitor()
+        clock, _, iterations, monitor = self.make_monitor()
         asyncio.run(monitor.check())
         due = clock.time + 1.1 * monitor.check_interval()
-        self.wait(clock, turns, phase)
+        self.wait(clock, iterations, phase)
         began = clock.time
-        while monitor.trouble is None:
-            self.run_late_iteration(clock, turns, ITERATION_SECONDS)
+        while monitor.refusal_reason is None:
+            self.run_late_iteration(clock, iterations, ITERATION_SECONDS)
             if clock.time >= due:
                 asyncio.run(monitor.check())
                 due = clock.time + 1.1 * monitor.check_interval()
--- a/tests/relay/test_loads.py
+++ b/tests/relay/test_loads.py
@@ -37,9 +37,9 @@
 
     def receive(self, peers, origin, topic, fact, epoch=1):
         """Apply a fact of another host."""
-        board = type(peers.facts)(origin, epoch, self.clock)
-        board.publish(topic, fact)
-        peers.facts.merge(facts_of(board))
+        table = type(peers.facts)(origin, epoch, self.clock)
+        table.publish(topic, fact)
+        peers.facts.merge(facts_of(table))
 
     def host_fact(self, name, power):
         return HostFact(name, f"{name}-1", "north", "", "", "live", 1, power)
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -201,12 +201,12 @@
     @run
     async def test_a_host_without_descriptors_is_not_ready(self):
         async with Deployment() as found:
-            lag = found.hosts[0].lag
-            lag.count = lambda: DescriptorCount(4090, 4100)
-            await lag.check()
+            monitor = found.hosts[0].host_monitor
+            monitor.count = lambda: DescriptorCount(4090, 4100)
+            await monitor.check()
             await self.check_refuses(found)
-            lag.count = lambda: DescriptorCount(90, 4100)
-            await lag.check()
+            monitor.count = lambda: DescriptorCount(90, 4100)
+            await monitor.check()
             self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
 
     @run
@@ -238,14 +238,14 @@
                         await asyncio.sleep(0.02)
 
             await until_named(True)
-            unready.lag.count = lambda: DescriptorCount(4090, 4100)
-            await unready.lag.check()
+            unready.host_monitor.count = lambda: DescriptorCount(4090, 4100)
+            await unready.host_monitor.check()
             await until_named(False)
             found.configure(version=9)
-            await found.until(lambda: unready.front.deployment.version == 9)
+            await found.until(lambda: unready.request_handler.deployment.version == 9)
             self.assertNotIn(address, await named())
-            unready.lag.count = lambda: DescriptorCount(90, 4100)
-            await unready.lag.check()
+            unready.host_monitor.count = lambda: DescriptorCount(90, 4100)
+            await unready.host_monitor.check()
             await until_named(True)
 
 
@@ -259,15 +259,15 @@
     @run
     async def test_a_burst_of_new_connections_shares_the_loop(self):
         async with Deployment() as found:
-            turns = asyncio.get_running_loop().iterations
+            iterations = asyncio.get_running_loop().iterations
             address = found.hosts[0].settings.listen.callers
-            before = turns.accepted
+            before = iterations.accepted
             callers = [Caller(address) for _ in range(300)]
             most, last = 0, before
             async with asyncio.timeout(10):
-                while turns.accepted < before + len(callers):
+                while iterations.accepted < before + len(callers):
                     await asyncio.sleep(0)
-                    most, last = max(most, turns.accepted - last), turns.accepted
+                    most, last = max(most, iterations.accepted - last), iterations.accepted
             for caller in callers:
                 caller.close()
             self.assertLessEqual(most, 64)
--- a/tests/relay/test_pacing.py
+++ b/tests/relay/test_pacing.py
@@ -360,7 +360,7 @@
         server = GrantServer(
             host.ctx, host.fleet, lambda to, frame: self.sent.append((to, frame)), find_domain
         )
-        server.set_deployment(host.front.deployment)
+        server.set_deployment(host.request_handler.deployment)
         return server
 
     @run
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -183,7 +183,7 @@
                 await found.ask("/fetch/", f"bad{number}", body=POISON)
             for runner in found.pages.values():
                 if runner.ended:
-                    blocklist.note_end(page, EndpointStart(runner.name, str(runner.born)))
+                    blocklist.record_end(page, EndpointStart(runner.name, str(runner.born)))
             self.assertEqual(2, len(blocklist.blocked()))
             async with asyncio.timeout(5):
                 while (await found.ask("/fetch/", "page", body=b"page"))[0] != 200:
@@ -293,7 +293,7 @@
     def end(self, host, *names, contents=("p",)):
         for name in names:
             for content in contents:
-                host.note_end(self.ask(content), EndpointStart(name, ""))
+                host.record_end(self.ask(content), EndpointStart(name, ""))
 
     def share(self, *, to, by):
         by.publish_changes()
@@ -318,7 +318,7 @@
 
     def test_a_start_is_an_end_of_its_own(self):
         for born in range(3):
-            self.first.note_end(self.ask("p"), EndpointStart("e1", str(born)))
+            self.first.record_end(self.ask("p"), EndpointStart("e1", str(born)))
         self.assertTrue(self.blocks(self.first))
 
     def test_an_answer_clears_a_request_at_all_hosts(self):
@@ -327,7 +327,7 @@
         self.share(to=self.second, by=self.first)
         self.assertTrue(self.blocks(self.second, "x"))
         self.clock.advance(1)
-        self.second.note_answer(self.ask("x"))
+        self.second.record_answer(self.ask("x"))
         self.share(to=self.first, by=self.second)
         self.share(to=self.second, by=self.first)
         for host in (self.first, self.second):
@@ -350,7 +350,7 @@
         self.end(self.first, "e1", "e2", "e3", contents=("p", "x"))
         tried = self.ask("p")
         self.assertIsNone(self.first.refusal(tried))
-        self.first.note_end(tried, EndpointStart("e4", ""))
+        self.first.record_end(tried, EndpointStart("e4", ""))
         self.assertFalse(self.blocks(self.first, "x"))
         self.assertAlmostEqual(BLOCKED_SECONDS, self.first.refusal(tried).retry_after)
 
@@ -364,7 +364,7 @@
         self.assertTrue(self.blocks(self.second))
         tried = self.ask("p")
         self.assertIsNone(self.first.refusal(tried))
-        self.first.note_end(tried, EndpointStart("e4", ""))
+        self.first.record_end(tried, EndpointStart("e4", ""))
         self.assertAlmostEqual(BLOCKED_SECONDS, self.first.refusal(tried).retry_after)
         self.clock.advance(REMEMBERED_SECONDS + 1)
         self.assertFalse(self.blocks(self.first) or self.blocks(self.second))
@@ -403,7 +403,7 @@
 
     def end(self, blocklist, *names, content="p"):
         for name in names:
-            blocklist.note_end(SimpleNamespace(content_id=content), EndpointStart(name, ""))
+            blocklist.record_end(SimpleNamespace(content_id=content), EndpointStart(name, ""))
 
     async def test_the_next_writer_reads_the_stored_ends_with_their_age(self):
         blocklist, blocklist_store = self.host("h0")
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -276,7 +276,7 @@
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
             await configure(found, 2, [RIVER | limit, HILL])
-            await found.until(lambda: found.hosts[1].front.deployment.version == 2)
+            await found.until(lambda: found.hosts[1].request_handler.deployment.version == 2)
             statuses = []
             for number in range(60):
                 status, headers, _ = await found.ask(
@@ -322,7 +322,7 @@
         limit = {"rate_per_s": 20, "burst": 20}
         async with Deployment(hosts=2) as found:
             await configure(found, 2, [RIVER | limit])
-            await found.until(lambda: found.hosts[1].front.deployment.version == 2)
+            await found.until(lambda: found.hosts[1].request_handler.deployment.version == 2)
             hub = found.hosts[0].peers.hub()
             [asked, other] = sorted(found.hosts, key=lambda host: host.settings.host != hub)
             asked.peers.mesh.on_quota = lambda host, frame: None
--- a/tests/relay/test_reach.py
+++ b/tests/relay/test_reachability.py
@@ -27,31 +27,31 @@
 
     def __init__(self, own="h1"):
         self.clock = FakeClock()
-        self.board = FactTable(own, 1, self.clock)
+        self.facts = FactTable(own, 1, self.clock)
         self.peers = set()
         self.heard_at = {}
-        self.reach = Reachability(
-            self.board,
+        self.reachability = Reachability(
+            self.facts,
             self.clock,
             own,
             lambda: self.peers,
             lambda host: self.heard_at.get(host, self.clock.monotonic()),
         )
-        self.members = Membership(self.board, host_fact(own), self.clock, self.reach)
-        self.boards = {own: self.board}
+        self.members = Membership(self.facts, host_fact(own), self.clock, self.reachability)
+        self.fact_tables = {own: self.facts}
 
     def link(self, **links):
         """Let hosts publish their links: names by host, one letter each."""
         for host, peers in links.items():
             self.receive(host, "links", LinksFact(sorted(peers)))
-            if self.boards[host] is self.board:
+            if self.fact_tables[host] is self.facts:
                 self.peers = set(peers)
 
     def receive(self, host, topic, fact):
-        board = self.boards.setdefault(host, FactTable(host, 1, self.clock))
-        board.publish(topic, fact)
-        if board is not self.board:
-            self.board.merge([board.get(host, topic).entry])
+        table = self.fact_tables.setdefault(host, FactTable(host, 1, self.clock))
+        table.publish(topic, fact)
+        if table is not self.facts:
+            self.facts.merge([table.get(host, topic).entry])
 
     def live(self):
         return self.members.live()
@@ -71,7 +71,7 @@
     def test_a_link_counts_when_both_ends_publish_it(self, name, links, expected):
         world = World("a")
         world.link(**links)
-        self.assertEqual(set(expected), world.reach.hosts(), name)
+        self.assertEqual(set(expected), world.reachability.hosts(), name)
 
 
 class AliveTest(unittest.IsolatedAsyncioTestCase):
@@ -155,8 +155,8 @@
         """
         new = World("e")
         new.clock.advance(200.0)
-        old = self.world.boards["b"]
-        new.board.merge([replace(old.get("b", "host").entry, age=200_000)])
+        old = self.world.fact_tables["b"]
+        new.facts.merge([replace(old.get("b", "host").entry, age=200_000)])
         self.assertEqual([], new.members.sweep())
         new.link(e="b", b="e")
         self.assertEqual(["b"], new.live())
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -100,7 +100,7 @@
             ask = SimpleNamespace(head=SimpleNamespace(inference=WISH), id="a1")
             for kind, suspect in ((Kind.ENDPOINT_LACKS, False), (Kind.ENDPOINT_REFUSED, True)):
                 for _ in range(9):
-                    host.service.note_loss(ask, state, Failure(kind))
+                    host.service.record_loss(ask, state, Failure(kind))
                 self.assertEqual(suspect, state.health.suspect(host.ctx.clock.monotonic()), kind)
 
 
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -263,13 +263,13 @@
     @run
     async def test_a_configuration_never_goes_back(self):
         async with Deployment() as found:
-            front = found.hosts[0].front
+            request_handler = found.hosts[0].request_handler
             found.configure(version=5, routes=[])
-            await found.until(lambda: front.deployment.version == 5)
+            await found.until(lambda: request_handler.deployment.version == 5)
             self.assertEqual(404, (await found.ask("/bind/"))[0])
             found.configure(version=4)
             found.configure(version=6)
-            await found.until(lambda: front.deployment.version == 6)
+            await found.until(lambda: request_handler.deployment.version == 6)
             self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
 
     @run
@@ -277,8 +277,8 @@
         async with Deployment() as found:
             found.store.faults["forget"] = 2
             found.configure(version=3)
-            front = found.hosts[0].front
-            await found.until(lambda: front.deployment.version == 3)
+            request_handler = found.hosts[0].request_handler
+            await found.until(lambda: request_handler.deployment.version == 3)
 
     @run
     async def test_requests_are_served_during_a_store_outage(self):
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -127,7 +127,7 @@
 async def configure(found, version, tenants):
     """Configure workspaces and wait until the first host uses them."""
     found.configure(version=version, **(WORKSPACE_CONFIG | {"tenants": tenants}))
-    await found.until(lambda: found.hosts[0].front.deployment.version == version)
+    await found.until(lambda: found.hosts[0].request_handler.deployment.version == version)
 
 
 class HostTest(unittest.TestCase):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -69,7 +69,7 @@
         counts = {"a": 0, "b": 0}
         for number in range(20):
             found = choose(states, make_profile(), NOW, random.Random(number))
-            found.state.note_sent(f"r{number}", NOW, 800)
+            found.state.record_sent(f"r{number}", NOW, 800)
             counts[found.state.name] += 1
         self.assertLessEqual(abs(counts["a"] - counts["b"]), 2)
 
@@ -103,8 +103,8 @@
         """A plain service sends no load reports, so no report ever clears the recorded sends."""
         service = EndpointState("s", "", "north")
         for number in range(MAX_SENT * 2):
-            service.note_sent(f"r{number}", NOW, 3)
-            service.note_finished(f"r{number}", NOW, True)
+            service.record_sent(f"r{number}", NOW, 3)
+            service.record_finished(f"r{number}", NOW, True)
         self.assertEqual(len(service._sent_since_report), MAX_SENT)
         self.assertEqual(len(service._ended_since_report), MAX_SENT)
         self.assertEqual((service.tokens_since_report, service.prefill_tokens), (MAX_SENT * 3, 0))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -95,7 +95,7 @@
                 self.assertNotIn("foreign", str(raw))
                 self.assertTrue(not stream or read_stream(raw)[2])
             self.cluster.engines[0].faults[fault] = False
-            self.cluster.hosts[0].host.fleet.states["e0"].note_success()
+            self.cluster.hosts[0].host.fleet.states["e0"].record_success()
 
     async def test_a_dead_engine_costs_a_retry_not_an_answer(self):
         await self.cluster.engines[0].served.stop()
@@ -367,5 +367,5 @@
             asks = [SimpleNamespace(content_id=content) for content in ("p", "x")]
             for number in range(3):
                 for ask in asks:
-                    host.blocklist.note_end(ask, EndpointStart(f"gone{number}", ""))
+                    host.blocklist.record_end(ask, EndpointStart(f"gone{number}", ""))
             self.assertIs(Kind.BLOCKED, host.blocklist.refusal(asks[0]).kind)
