--- a/peridotdock/decisions/permits.py
+++ b/peridotdock/decisions/permits.py
@@ -13,8 +13,8 @@
 from peridotdock.blocklist import EndpointStart
 from peridotdock.limits import Bucket
 
-# Longest time ahead for which a permit is promised. A new bucket starts in debt by as much: the
-# previous hub may have promised the permits of that time.
+# Longest time ahead for which a permit is reserved. A new bucket starts in debt by as much: the
+# previous hub may have reserved the permits of that time.
 MAX_ADVANCE_SECONDS = 1.0
 # Seconds of its limit that an endpoint may get at once; one request at least.
 BURST_SECONDS = 0.5
@@ -57,7 +57,7 @@
         self._buckets: dict[EndpointStart, Bucket] = {}
 
     def wait(self, start: EndpointStart, limit: float, now: float) -> float:
-        """Return the seconds until there is a permit that is not promised yet."""
+        """Return the seconds until there is a permit that is not reserved yet."""
         rate = max(MIN_RATE, limit)
         bucket = self._buckets.get(start)
         if bucket is None:
--- a/peridotdock/decisions/retry_budget.py
+++ b/peridotdock/decisions/retry_budget.py
@@ -1,6 +1,6 @@
 """Budget for the retries of one host to a service: its part of what all hosts may send together.
 
-Load pattern: a service in trouble fails many requests at once, and the retries of all hosts would
+Load pattern: a failing service fails many requests at once, and the retries of all hosts would
 add to its load at that moment. The bound holds over any window and over all hosts. Each host counts
 only its own requests and uses a part of the fixed number, so that the parts never add up to more
 than the whole.
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -313,7 +313,7 @@
         await self.planner.update_plan(self.accepted, self.controller.rows, down, demand, chosen)
 
     def _runs_trials(self) -> bool:
-        """Tell whether this host is the one that tries requests that may be blocked wrongly."""
+        """Return whether this host is the one that tries requests that may be blocked wrongly."""
         return self.membership.live()[:1] == [self.ctx.cfg.host_id]
 
     def _is_planner(self) -> bool:
--- a/peridotdock/relay/endpoint.py
+++ b/peridotdock/relay/endpoint.py
@@ -158,7 +158,7 @@
 
         Failure guarded against: a model was unloaded a moment ago, or an adapter is still loading.
         The last entry or update still lists it, so a request was sent there three times within four
-        milliseconds, and its caller was told to retry later.
+        milliseconds, and its caller was asked to retry later.
         """
         kept = {
             name: row
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -104,7 +104,7 @@
 
         Soon after an order, a report that counts fewer orders than were accepted is older than the
         order. Later the report is right: an engine that answers that it carries an order out may
-        not count it again. A report of another start says nothing about this one.
+        not count it again. A report of another start does not apply to this one.
         """
         if report.born != self.started_ms and report.born and self.started_ms:
             return
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -37,7 +37,7 @@
 
 
 class RelayService:
-    """Serves relayed requests on one host, within the retry allowance of each service."""
+    """Serves relayed requests on one host, within the retry budget of each service."""
 
     def __init__(
         self,
@@ -131,7 +131,7 @@
         progress: Progress,
         found: CompleteAnswer | Failure,
     ) -> bool:
-        """Whether a retry is safe, allowed by the route, and within the retry allowance."""
+        """Whether a retry is safe, allowed by the route, and within the retry budget."""
         now = self.ctx.clock.monotonic()
         if caller.is_disconnected() or now >= req.deadline:
             return False
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -137,7 +137,7 @@
 class SharedRetryBudgetTest(unittest.TestCase):
     @params(1, 3, 9, 67, 350)
     def test_retries_of_all_hosts_stay_within_the_bound(self, hosts):
-        """A service in trouble gets more retries over all hosts than its operators allow."""
+        """A failing service gets more retries over all hosts than its operators allow."""
         share, extra, window = 0.2, 58, 10.0
         budgets = [SharedRetryBudget(share, extra, window) for _ in range(hosts)]
         retries = []
--- a/tests/relay/test_ordering.py
+++ b/tests/relay/test_ordering.py
@@ -232,7 +232,7 @@
         self.assertEqual([False, True], hosts.may("e1"))
 
     def test_a_holder_that_resigns_at_once_passes_on_inherited_waits(self):
-        """Guards against orders of two hosts in turns, with a third holder in between."""
+        """Guards against alternating orders of two hosts, with a third holder in between."""
         hosts = Hosts(3)
         hosts.step(0)
         hosts.clock.now += 1.0
@@ -245,7 +245,7 @@
         self.assertEqual([False, False, False], hosts.may("e1"))
 
     def test_a_restarted_holder_keeps_inherited_waits(self):
-        """Guards against orders of two hosts in turns when the second one restarted in between."""
+        """Guards against alternating orders of two hosts when the second restarted in between."""
         hosts = Hosts(1)
         hosts.step(0)
         hosts.all[0].record_order("e1")
@@ -259,7 +259,7 @@
         self.assertFalse(hosts.all[2].may_order("e1"))
 
     def test_a_restarted_holder_passes_on_waits_for_its_earlier_orders(self):
-        """Guards against orders of two hosts in turns: the holder restarts, then stops."""
+        """Guards against alternating orders of two hosts: the holder restarts, then stops."""
         hosts = Hosts(0)
         hosts.add("m0")
         hosts.step(0)
