--- a/peridotdock/decisions/overload.py
+++ b/peridotdock/decisions/overload.py
@@ -1,4 +1,4 @@
-"""Decisions of a host whose event loop is behind: whether it takes a request, whether it is ready.
+"""Decisions of a host whose event loop is behind: whether to accept requests and to be ready.
 
 Each step of a request waits for the loop. A host whose loop iterations take long can therefore
 predict that an answer will be too late, and refuses at once with the guarantee that nothing has
@@ -19,10 +19,11 @@
 # four iterations after it arrives, and callers wait one second for that.
 BEHIND_SECONDS = 0.2
 # How long a host must have been behind before it reports that it is not ready. A single long
-# iteration, as a large configuration causes, is over when it is noticed, and shows for two seconds.
+# iteration, such as one that applies a large configuration, has ended when it is measured, and
+# counts as lag for two seconds.
 UNREADY_SECONDS = 2.5
-# Free file descriptors below which a host takes nothing new: each request in work may need one
-# more, and without any the system accepts no connection for a second at a time.
+# Free file descriptors below which a host accepts no new requests: each request in progress may
+# need one more, and without any the system accepts no connection for a second at a time.
 MIN_FREE_DESCRIPTORS = 64
 # Seconds until a caller may retry: it uses another host, so it need not wait for this one. The
 # spread keeps callers that were refused together from retrying together.
@@ -57,7 +58,7 @@
 
 
 def check_host(state: HostState) -> RefusalReason | None:
-    """Return why a host is not ready for anything new, or None."""
+    """Return why a host is not ready for new requests, or None."""
     if state.free_descriptors is not None and state.free_descriptors < MIN_FREE_DESCRIPTORS:
         return RefusalReason.DESCRIPTORS
     if state.lag >= BEHIND_SECONDS and state.behind_seconds >= UNREADY_SECONDS:
--- a/peridotdock/decisions/permits.py
+++ b/peridotdock/decisions/permits.py
@@ -1,10 +1,10 @@
 """Permits for requests to endpoints that have announced a limit: one bucket each, for all hosts.
 
 Load pattern: an overloaded endpoint announces a limit of about one request per second while several
-times as many arrive for what it holds, over dozens of hosts that each get one now and then. A
-host's share of the limit is less than one request, and what hosts send before they learn of each
-other's requests exceeds the limit. One host therefore counts for all, and each request needs its
-permit.
+times as many arrive for its items, over dozens of hosts that each receive one occasionally. A
+host's share of the limit is less than one request, and the requests that hosts send before they
+receive each other's counts exceed the limit. One host therefore counts for all, and each request
+needs its permit.
 """
 
 from collections.abc import Callable, Container
--- a/peridotdock/decisions/waiting.py
+++ b/peridotdock/decisions/waiting.py
@@ -2,7 +2,7 @@
 
 Load pattern: rare models and adapters are requested suddenly, and demand moves to models without a
 copy. A load takes seconds, and a request has some until its deadline. A request that can still be
-answered in time waits; another is refused at once with the time at which the model should be ready.
+answered in time waits; any other is refused at once with the time until the model should be ready.
 """
 
 from dataclasses import dataclass
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -30,10 +30,10 @@
 # Seconds after which an ordered adapter can serve: its load takes five to ten milliseconds, and an
 # earlier request is refused.
 ADAPTER_LOAD_SECONDS = 0.012
-# Seconds without orders to an engine that refused one: its report is as old as that.
+# Seconds without orders to an engine that refused one: its next report may be that old.
 REFUSED_PAUSE_SECONDS = 0.35
-# Seconds after an accepted unload until the load that needs its capacity is tried. The first try is
-# often refused as too soon and the next accepted; a report would show the end 0.2 s late.
+# Seconds after an accepted unload until the load that needs its capacity is sent. The first attempt
+# is often refused as too early and the next accepted; a report would show the end 0.2 s late.
 SWAP_DELAY_SECONDS = 0.03
 # Minimum and maximum pause, in seconds, before this load is retried while requests still run.
 SWAP_RETRY_SECONDS = (0.1, 0.5)
