--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -154,10 +154,10 @@
         self._ctx.timeline.add("request_blocked", "WARNING", detail=detail)
 
     def _judge_if_due(self) -> None:
-        """Judge as soon as another request is at enough ends, rather than when it is retried.
+        """Judge as soon as another request counts enough ends, without waiting for its retry.
 
-        An end is noted once for each request that was running, sixty at a time, so judging on
-        every note would cost too much.
+        An end is recorded once for each request that was running, sixty at a time, so judging at
+        every record would cost too much.
         """
         if self._judgement_due:
             self.blocked()
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -127,9 +127,9 @@
     ) -> Failure | None:
         """Read until there are complete events or the stream has ended.
 
-        ``silent`` tells what the end of ``seconds`` is reported as: a silent endpoint, or the
+        ``silent`` is set if the end of ``seconds`` is reported as a silent endpoint, not as the
         deadline. ``extra_seconds`` is called then and returns the seconds until the deadline if the
-        wait goes on. A stream that ends in the middle of an event is a cut answer, not an end.
+        wait continues. A stream that ends in the middle of an event is a cut answer, not an end.
         """
         self._stall_timeout.begin(seconds, extra_seconds)
         try:
