--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -17,11 +17,11 @@
 
 from extras.samples import HANEUL, make_manifest
 from peridotdock import manifest as manifests
-from peridotdock.fact_table import FactTable
 from peridotdock.clients.endpoint import EngineLoad
 from peridotdock.clock import SystemClock
 from peridotdock.columns import pack
 from peridotdock.drafts import Copy, EngineView
+from peridotdock.fact_table import FactTable
 from peridotdock.fleet import EndpointState, Fleet
 from peridotdock.frames import decode, encode
 from peridotdock.ledger import Ledger, Reservation, State, observe, read_ledger
--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -21,14 +21,14 @@
 from dataclasses import dataclass
 from multiprocessing.connection import Connection
 
-from peridotdock.fact_table import FactTable
 from peridotdock.clock import SystemClock
 from peridotdock.context import build_context
+from peridotdock.fact_table import FactTable
 from peridotdock.links import Link
 from peridotdock.membership import Membership
 from peridotdock.mesh import Mesh
 from peridotdock.platform.adapter import PlatformAdapter
-from peridotdock.relay.requests import InferenceSpec, PromptPart
+from peridotdock.relay.aggregation import encode_work
 from peridotdock.relay.host import (
     DEMAND_INTERVAL_SECONDS,
     HUB_FACTS_PER_SECOND,
@@ -36,8 +36,8 @@
     RelayHost,
 )
 from peridotdock.relay.peers import HUB_TOPICS
+from peridotdock.relay.requests import InferenceSpec, PromptPart
 from peridotdock.relay.settings import Address, HostSettings, Listen, parse_address
-from peridotdock.relay.aggregation import encode_work
 from peridotdock.schema.messages import DemandFact, HostFact, OrdersFact, Rows, WantsFact
 from peridotdock.schema.settings import Settings
 from tests.builders import facts_of
--- a/peridotdock/blocklist.py
+++ b/peridotdock/blocklist.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.decisions.poison import MIN_CRASHES, Verdict, find_poison
 from peridotdock.errors import Failure, Kind
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.schema.messages import EndpointEnd, EndsFact
 from peridotdock.trials import Trials
 
--- a/peridotdock/decisions/placing.py
+++ b/peridotdock/decisions/placing.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 
 from peridotdock.clients.engines import Action
-from peridotdock.decisions.adapters import preload_adapters, place_adapters
+from peridotdock.decisions.adapters import place_adapters, preload_adapters
 from peridotdock.decisions.copies import (
     all_models_held,
     is_overloaded,
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -14,14 +14,14 @@
 from peridotdock.fleet import EndpointState, Fleet
 from peridotdock.requests import (
     RETRY_KINDS,
-    ModelRequest,
     CallerConnection,
     Loss,
+    ModelRequest,
     Reply,
     RequestState,
-    mark_maybe_ran,
     connection_broke,
     loss_failure,
+    mark_maybe_ran,
 )
 from peridotdock.retries import MAX_SENDS, RetryBudget
 from peridotdock.routing import ROUTING_DECISIONS, Choice, admit, choose
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -10,6 +10,12 @@
 from blacksheep import Application, Content, Request, Response
 
 from peridotdock.answers import answer_failure, answer_json, answer_reply
+from peridotdock.claims import find_owner
+from peridotdock.clients.endpoint import Call, read_all
+from peridotdock.discovery import describe_addresses
+from peridotdock.errors import Failure, Kind, failed
+from peridotdock.host import Host
+from peridotdock.keys import Record, fingerprint
 from peridotdock.request_parsing import (
     FORM_BY_PATH,
     Headers,
@@ -19,12 +25,6 @@
     parse_model_request,
     read_headers,
 )
-from peridotdock.claims import find_owner
-from peridotdock.clients.endpoint import Call, read_all
-from peridotdock.discovery import describe_addresses
-from peridotdock.errors import Failure, Kind, failed
-from peridotdock.host import Host
-from peridotdock.keys import Record, fingerprint
 from peridotdock.requests import ModelRequest, Reply, ServiceRequest
 from peridotdock.schema.manifest import Caller
 from peridotdock.service_calls import HOP_HEADERS, filter_headers
--- a/peridotdock/fleet.py
+++ b/peridotdock/fleet.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from peridotdock.blocklist import EndpointStart
-from peridotdock.fact_table import FactTable, Slot
 from peridotdock.clients.endpoint import EngineLoad
 from peridotdock.clock import Clock
 from peridotdock.columns import unpack
 from peridotdock.errors import Failure
+from peridotdock.fact_table import FactTable, Slot
 from peridotdock.items import name_of
 from peridotdock.ledger import State
 from peridotdock.manifest import Accepted
--- a/peridotdock/handshake.py
+++ b/peridotdock/handshake.py
@@ -6,7 +6,7 @@
 
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.frames import Frame, decode, encode, verify_proof, make_proof
+from peridotdock.frames import Frame, decode, encode, make_proof, verify_proof
 from peridotdock.schema.messages import Hello
 
 NONCE_BYTES = 16
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -7,16 +7,16 @@
 from peridotdock import ledger as ledgers
 from peridotdock import manifest as manifests
 from peridotdock.blocklist import Blocklist
-from peridotdock.fact_table import FactTable, Slot
+from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.platform import HttpPlatform, Platform, Row
 from peridotdock.context import Context
 from peridotdock.controllers import Controller
 from peridotdock.dispatch import Dispatcher
 from peridotdock.errors import failed
+from peridotdock.fact_table import FactTable, Slot
 from peridotdock.fleet import Fleet
 from peridotdock.jobs import Jobs
-from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.keys import KeyTable
 from peridotdock.leases import KEY_PREFIX as LEASE_PREFIX
 from peridotdock.leases import HostLease, LeaseTable
--- /dev/null
+++ b/peridotdock/keeping.py
@@ -0,0 +1,94 @@
+"""The block list in the platform's store, where one host at a time keeps it for all.
+
+Failure guarded against: all hosts lose power at once, and the request that ended three engines
+before comes again. Hosts keep nothing, so it would end three more. One row is written when a
+request is newly blocked and read by each host that begins to keep it, and that is all it costs.
+"""
+
+from collections.abc import Callable
+from dataclasses import asdict, replace
+
+import msgspec
+
+from peridotdock.blocklist import REMEMBERED_SECONDS, Blocklist
+from peridotdock.clients.platform import Platform, Transaction, commit_surely
+from peridotdock.context import Context
+from peridotdock.errors import failed
+from peridotdock.schema.messages import EndpointEnd
+
+BLOCKED_KEY = "blocked"
+# Seconds between two looks for requests that are newly blocked.
+KEEP_SECONDS = 1.0
+# Newest ends that the row holds, well within the most bytes that a row may have.
+MOST_KEPT = 200
+# What a row that another version wrote may raise when it is read.
+UNREADABLE = (KeyError, TypeError, ValueError, msgspec.ValidationError)
+
+
+class BlocklistKeeper:
+    """Reads and writes the row while ``holds`` tells that this host is the one to keep it."""
+
+    def __init__(
+        self, ctx: Context, store: Platform, holds: Callable[[], bool], blocklist: Blocklist
+    ):
+        self._ctx = ctx
+        self._store = store
+        self._holds = holds
+        self._blocklist = blocklist
+        self._has_read = False
+        self._version = 0
+        self._kept: frozenset[str] = frozenset()
+
+    async def step(self) -> None:
+        """Read the row once; write it anew when a request is newly blocked."""
+        if not self._holds():
+            self._has_read = False
+            return
+        if not self._has_read and not await self._read():
+            return
+        ends = self._blocklist.ends_of_blocked()
+        self._blocklist.vouch(ends)
+        contents = frozenset(content for end in ends for content in end.contents)
+        if contents - self._kept:
+            await self._write(ends, contents)
+
+    async def _read(self) -> bool:
+        rows = await self._store.read([BLOCKED_KEY])
+        if failed(rows):
+            return False
+        row = rows.get(BLOCKED_KEY)
+        self._version = row.version if row else 0
+        ends = self._decode(row.value) if row else []
+        self._kept = frozenset(content for end in ends for content in end.contents)
+        self._blocklist.vouch(ends)
+        self._has_read = True
+        return True
+
+    async def _write(self, ends: list[EndpointEnd], contents: frozenset[str]) -> None:
+        written_at = self._ctx.clock.now().timestamp()
+        newest = sorted(ends, key=lambda end: end.age)[:MOST_KEPT]
+        value = {"written_at": written_at, "ends": [asdict(end) for end in newest]}
+        tx = Transaction({BLOCKED_KEY: self._version}, {BLOCKED_KEY: value})
+        outcome = await commit_surely(self._store, tx)
+        if failed(outcome):
+            # Another host wrote, or the store is away: the row is read again at the next step.
+            self._has_read = False
+            self._ctx.timeline.add("blocked_not_kept", "WARNING", detail=outcome.reason)
+            return
+        self._version, self._kept = outcome.version, contents
+        self._ctx.timeline.add("blocked_kept", detail=f"contents {' '.join(sorted(contents))}")
+
+    def _decode(self, value: dict) -> list[EndpointEnd]:
+        """Return the ends in a row, each as old as it is now by the time of day.
+
+        Hosts' times of day differ by some seconds, of the ten minutes that an end counts.
+        """
+        try:
+            passed = max(0.0, self._ctx.clock.now().timestamp() - float(value["written_at"]))
+            rows = msgspec.convert(value["ends"], list[EndpointEnd])
+        except UNREADABLE as exc:
+            detail = f"{BLOCKED_KEY}: {type(exc).__name__}: {exc}"
+            self._ctx.timeline.add("rows_refused", "ERROR", detail=detail)
+            return []
+        ends = [replace(row, age=row.age + passed) for row in rows]
+        return [end for end in ends if end.age < REMEMBERED_SECONDS]
--- a/peridotdock/links.py
+++ b/peridotdock/links.py
@@ -7,8 +7,8 @@
 from websockets.asyncio.connection import Connection
 from websockets.exceptions import WebSocketException
 
-from peridotdock.fact_table import Slot
 from peridotdock.context import Context
+from peridotdock.fact_table import Slot
 from peridotdock.frames import Frame, encode
 from peridotdock.schema.messages import Hello, Ping, Rows
 
--- a/peridotdock/membership.py
+++ b/peridotdock/membership.py
@@ -11,8 +11,8 @@
 from types import MappingProxyType
 from typing import Protocol
 
-from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.clock import Clock
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.schema.messages import HostFact
 
 BEAT_SECONDS = 1.0
--- a/peridotdock/mesh.py
+++ b/peridotdock/mesh.py
@@ -14,9 +14,9 @@
 from websockets.asyncio.server import Server, serve
 from websockets.exceptions import WebSocketException
 
-from peridotdock.fact_table import TOPICS, FactTable, Slot
 from peridotdock.context import Context
 from peridotdock.errors import Failure, failed
+from peridotdock.fact_table import TOPICS, FactTable, Slot
 from peridotdock.frames import (
     MAX_FRAME_BYTES,
     Frame,
--- a/peridotdock/placement.py
+++ b/peridotdock/placement.py
@@ -14,15 +14,15 @@
     Plan,
     allowed_engines,
     base_accelerators,
-    find_copies,
     find_accelerators,
+    find_copies,
     find_victims,
     make_draft,
 )
-from peridotdock.scaling import add_replicas
 from peridotdock.items import Item, name_of
 from peridotdock.ledger import COPY_STATES, State
 from peridotdock.manifest import Accepted
+from peridotdock.scaling import add_replicas
 
 
 def make_plan(
--- a/peridotdock/relay/aggregation.py
+++ b/peridotdock/relay/aggregation.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import TypeVar
 
-from peridotdock.fact_table import FactTable, KnownFact
 from peridotdock.columns import pack, unpack
 from peridotdock.decisions.draft import Demand
+from peridotdock.fact_table import FactTable, KnownFact
 from peridotdock.membership import Membership
 from peridotdock.schema.messages import DemandFact, RunsFact, WantsFact, WorkFact
 
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -8,10 +8,10 @@
 from peridotdock.clients.endpoint import Opened
 from peridotdock.clients.http import BROKEN
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import AnswerHead
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.events import EventSplitter, StreamEvent
+from peridotdock.relay.requests import AnswerHead
 from peridotdock.requests import Loss, RequestState, loss_failure
 
 SERVER_ERROR = 500
--- a/peridotdock/relay/choosing.py
+++ b/peridotdock/relay/choosing.py
@@ -8,15 +8,15 @@
 from peridotdock.decisions.choice import Candidate, Prediction, choose, predict
 from peridotdock.decisions.overload import check_send, retry_after
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.requests import RelayRequest
+from peridotdock.loop_iterations import find_iterations
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.grants import GrantedEndpoint, Grants
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
+from peridotdock.relay.requests import RelayRequest
 from peridotdock.relay.waits import EndpointWaits
 from peridotdock.requests import Loss, RequestState, loss_failure
-from peridotdock.loop_iterations import find_iterations
 
 # Seconds until a caller may come back when no endpoint has what it asks for.
 NO_ENDPOINT_RETRY_SECONDS = 0.5
--- a/peridotdock/relay/daemon.py
+++ b/peridotdock/relay/daemon.py
@@ -7,13 +7,13 @@
 from peridotdock import logs
 from peridotdock.context import Streams, build_context
 from peridotdock.errors import failed
+from peridotdock.loop_iterations import MeasuredLoop
 from peridotdock.platform.adapter import PlatformAdapter
 from peridotdock.platform.settings import load_settings
 from peridotdock.relay.host import RelayHost
 from peridotdock.relay.settings import HostSettings
 from peridotdock.schema.settings import Settings
 from peridotdock.status import ExitStatus
-from peridotdock.loop_iterations import MeasuredLoop
 
 # Links of a host to others. Eight join up to nine hosts directly; among more, each fact takes a
 # second or third hop, and few hosts hear it more often than they must.
--- a/peridotdock/relay/endpoint_notices.py
+++ b/peridotdock/relay/endpoint_notices.py
@@ -7,12 +7,12 @@
 import math
 from collections.abc import Iterable
 
-from peridotdock.fact_table import KnownFact, Slot
 from peridotdock.context import Context
-from peridotdock.relay.requests import AnswerHead, RelayRequest
-from peridotdock.relay.endpoint import EndpointState, AnnouncedLimit
+from peridotdock.fact_table import KnownFact, Slot
+from peridotdock.relay.endpoint import AnnouncedLimit, EndpointState
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
+from peridotdock.relay.requests import AnswerHead, RelayRequest
 from peridotdock.schema.messages import EndpointWord, WordsFact
 
 # What hosts have heard, and what the hub tells all of them.
--- a/peridotdock/relay/entries.py
+++ b/peridotdock/relay/entries.py
@@ -4,8 +4,8 @@
 
 from peridotdock.context import Context
 from peridotdock.errors import Failure, failed
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
+from peridotdock.relay.requests import EndpointEntry
 
 DecodeEntry = Callable[[str, bytes], EndpointEntry | Failure]
 
--- a/peridotdock/relay/fleet.py
+++ b/peridotdock/relay/fleet.py
@@ -14,18 +14,18 @@
 )
 from peridotdock.decisions.permits import permit_interval
 from peridotdock.deployment import Model
-from peridotdock.relay.requests import EndpointEntry, InferenceSpec
 from peridotdock.relay.endpoint import (
     NO_LOAD,
     EndpointState,
     InFlightRequest,
     ReceivedUpdate,
     RemoteLoad,
-    prompt_cache_key,
+    is_outdated,
     item_name,
     new_start_state,
-    is_outdated,
+    prompt_cache_key,
 )
+from peridotdock.relay.requests import EndpointEntry, InferenceSpec
 from peridotdock.rendezvous import weigh
 from peridotdock.schema.messages import EngineNews
 
@@ -194,7 +194,10 @@
         self._event_seconds[service] = usual + gain * (min(seconds, 2 * usual) - usual)
 
     def candidates(
-        self, states: Iterable[EndpointState], inference: InferenceSpec | None, avoid: frozenset[str]
+        self,
+        states: Iterable[EndpointState],
+        inference: InferenceSpec | None,
+        avoid: frozenset[str],
     ) -> list[Candidate]:
         """Return the endpoints as they look for one request of this host.
 
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -11,8 +11,8 @@
 from peridotdock.clients.tables import TableChanges, Tables, TableView
 from peridotdock.context import Context
 from peridotdock.decisions.freshness import (
-    MIN_BOUND_SECONDS,
     MAX_RETRY_SECONDS,
+    MIN_BOUND_SECONDS,
     ViewLimits,
     divide_bound,
     retry_delay,
--- a/peridotdock/relay/grants.py
+++ b/peridotdock/relay/grants.py
@@ -23,14 +23,14 @@
 )
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import InferenceSpec, PromptPart, RelayRequest
+from peridotdock.loop_iterations import LoopIterations
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState, item_name
 from peridotdock.relay.fleet import RelayFleet
+from peridotdock.relay.requests import InferenceSpec, PromptPart, RelayRequest
 from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import Grant as GrantFrame
 from peridotdock.schema.messages import GrantDropped, GrantWanted
-from peridotdock.loop_iterations import LoopIterations
 
 # Seconds that the hub's first word may take, and turns of this host's loop beside: two trips
 # between failure domains and the hub's own turn.
@@ -134,7 +134,10 @@
         )
         work = self._fleet.estimate_work(frame.service, inference)
         send_by = (
-            now + frame.spare / 1000 - work.tokens * work.seconds_per_token - FIRST_TOKEN_OVERHEAD_SECONDS
+            now
+            + frame.spare / 1000
+            - work.tokens * work.seconds_per_token
+            - FIRST_TOKEN_OVERHEAD_SECONDS
         )
         item = item_name(inference)
         stay_until = now + frame.stays / 1000
--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -6,37 +6,37 @@
 from collections.abc import Mapping
 
 from peridotdock.blocklist import Blocklist
+from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.context import Context
 from peridotdock.deployment import Deployment
 from peridotdock.errors import failed
 from peridotdock.jobs import Jobs
-from peridotdock.blocklist_store import CHECK_SECONDS, BlocklistStore
-from peridotdock.relay.item_waits import ItemWaits
+from peridotdock.loop_iterations import find_iterations
 from peridotdock.relay.adapter import Adapter
 from peridotdock.relay.choosing import Chooser
 from peridotdock.relay.clocks import BootClock
-from peridotdock.relay.port_router import ADDRESS_SECONDS, PortRouter
+from peridotdock.relay.endpoint_notices import EndpointNotices
 from peridotdock.relay.entries import EntryReader
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.following import Follower
-from peridotdock.relay.request_handler import RequestHandler
 from peridotdock.relay.grants import Grants
 from peridotdock.relay.identity import Identifier
+from peridotdock.relay.item_waits import ItemWaits
 from peridotdock.relay.lag import HostMonitor
 from peridotdock.relay.leadership import Handover, Leadership
 from peridotdock.relay.ordering import Orderer
 from peridotdock.relay.peers import Peers
 from peridotdock.relay.permits import EndpointPermits
+from peridotdock.relay.port_router import ADDRESS_SECONDS, PortRouter
 from peridotdock.relay.quotas import Quotas
+from peridotdock.relay.request_handler import RequestHandler
 from peridotdock.relay.service import RelayService
 from peridotdock.relay.settings import HostSettings
 from peridotdock.relay.views import Views
 from peridotdock.relay.waits import EndpointWaits
-from peridotdock.relay.endpoint_notices import EndpointNotices
 from peridotdock.serving import Server, make_application
-from peridotdock.loop_iterations import find_iterations
 
 # Seconds between a change of the configuration and the next call on it: changes that come in quick
 # succession are seen one by one.
@@ -173,7 +173,9 @@
         self._failed_plans = 0
         listen = settings.listen
         port_router = PortRouter(ctx, adapter, self.front, self.peers.membership, self._ready)
-        port_router.set_ports(listen, settings.metrics.port if settings.metrics is not None else None)
+        port_router.set_ports(
+            listen, settings.metrics.port if settings.metrics is not None else None
+        )
         app = make_application()
         app.router.fallback = port_router.handle
         addresses = [listen.readiness, listen.directory]
@@ -231,7 +233,9 @@
 
     def _publish_interval(self, min_seconds: float, factor: float = 1.0) -> float:
         """Return the time until the next word to the hub, which takes in so many a second."""
-        return max(min_seconds, factor * len(self.peers.facts.by_origin("host")) / HUB_FACTS_PER_SECOND)
+        return max(
+            min_seconds, factor * len(self.peers.facts.by_origin("host")) / HUB_FACTS_PER_SECOND
+        )
 
     async def _publish_work(self) -> None:
         self.peers.publish_work()
--- a/peridotdock/relay/hub_calls.py
+++ b/peridotdock/relay/hub_calls.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-from peridotdock.relay.caller import CallerConnection
 from peridotdock.loop_iterations import LoopIterations
+from peridotdock.relay.caller import CallerConnection
 
 T = TypeVar("T")
 # Seconds that the hub's word may take, and turns of this host's loop beside: two trips between
--- a/peridotdock/relay/item_waits.py
+++ b/peridotdock/relay/item_waits.py
@@ -6,11 +6,11 @@
 from peridotdock.decisions.waiting import Absence, Wait, decide_wait
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import InferenceSpec, RelayRequest
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import item_name
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import Peers
+from peridotdock.relay.requests import InferenceSpec, RelayRequest
 from peridotdock.requests import Loss, RequestState, loss_failure
 
 # Seconds between two looks for an endpoint while nothing changes: one that could not be reached is
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -19,12 +19,12 @@
 from peridotdock.decisions.placing import make_plan
 from peridotdock.deployment import Deployment, EngineSpec, Service
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.unanswered_orders import UnansweredOrders
 from peridotdock.relay.leadership import Leadership
 from peridotdock.relay.records import NO_REQUESTS, EngineRecord, order_seconds
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.settings import Bounds
+from peridotdock.relay.unanswered_orders import UnansweredOrders
 from peridotdock.schema.messages import EngineNews
 
 # Seconds after which an adapter that was ordered can serve: its load takes five to ten
@@ -135,7 +135,8 @@
                 ages = None if holder_loads is None else holder_loads.get(service.name, [])
                 self._load_limiter(service).take_over(self._ctx.clock.monotonic(), ages)
         left = {
-            name: row.available(self._ctx.clock.monotonic()) for name, row in self._load_limiters.items()
+            name: row.available(self._ctx.clock.monotonic())
+            for name, row in self._load_limiters.items()
         }
         self._ctx.timeline.add(
             "orders_begin",
@@ -156,7 +157,9 @@
         """Return when each load that counts was begun, by service."""
         now = self._ctx.clock.monotonic()
         return {
-            name: begun for name, row in self._load_limiters.items() if (begun := row.start_times(now))
+            name: begun
+            for name, row in self._load_limiters.items()
+            if (begun := row.start_times(now))
         }
 
     def _follow_entries(self) -> None:
@@ -230,7 +233,15 @@
         stream = self._fleet.estimate_work(service.name, None).service_seconds
         host_facts = self._has_host_facts(now)
         for step in make_plan(
-            spec, views, demand, limiter.available(now), reserved, held_back, settled, stream, host_facts
+            spec,
+            views,
+            demand,
+            limiter.available(now),
+            reserved,
+            held_back,
+            settled,
+            stream,
+            host_facts,
         ):
             if step.evicted_for:
                 self._reservations[step.engine] = Reservation(
--- a/peridotdock/relay/peers.py
+++ b/peridotdock/relay/peers.py
@@ -5,31 +5,31 @@
 from dataclasses import replace
 from functools import lru_cache
 
-from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.context import Context
 from peridotdock.decisions.draft import Demand
 from peridotdock.decisions.quotas import host_share
 from peridotdock.demand import Demand as DemandMeter
+from peridotdock.fact_table import FactTable, KnownFact, Slot
 from peridotdock.links import Link
 from peridotdock.membership import Member, Membership
 from peridotdock.mesh import Mesh
-from peridotdock.relay.endpoint import RemoteLoad
-from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.leadership import Handover
-from peridotdock.relay.reachability import Reachability
-from peridotdock.relay.settings import HostSettings
 from peridotdock.relay.aggregation import (
     Work,
     add_load,
     add_runs,
-    live_facts,
-    demand_changed,
     decode_work,
-    sum_demand,
-    subtract_work,
+    demand_changed,
     encode_runs,
     encode_work,
+    live_facts,
+    subtract_work,
+    sum_demand,
 )
+from peridotdock.relay.endpoint import RemoteLoad
+from peridotdock.relay.fleet import RelayFleet
+from peridotdock.relay.leadership import Handover
+from peridotdock.relay.reachability import Reachability
+from peridotdock.relay.settings import HostSettings
 from peridotdock.rendezvous import weigh
 from peridotdock.schema.messages import (
     DemandFact,
@@ -80,7 +80,6 @@
         )
         reach = Reachability(
             self.facts, ctx.clock, settings.host, self.mesh.peers, self.mesh.last_received
-        
         )
         self.membership = Membership(self.facts, own, ctx.clock, reach)
         self.demand_meter = DemandMeter(DEMAND_PEAK_SECONDS)
--- a/peridotdock/relay/permits.py
+++ b/peridotdock/relay/permits.py
@@ -5,19 +5,19 @@
 
 from peridotdock.context import Context
 from peridotdock.decisions.permits import (
-    NO_WAIT,
     MAX_ADVANCE_SECONDS,
+    NO_WAIT,
     Permit,
     Permits,
     permit_interval,
 )
+from peridotdock.loop_iterations import LoopIterations
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.peers import Peers
 from peridotdock.relay.hub_calls import HubCalls
+from peridotdock.relay.peers import Peers
 from peridotdock.schema.messages import PermitGiven, PermitWanted
-from peridotdock.loop_iterations import LoopIterations
 
 # Seconds for which an endpoint is left alone that the hub gave no word on.
 SILENT_HUB_BACKOFF_SECONDS = 0.25
--- a/peridotdock/relay/quotas.py
+++ b/peridotdock/relay/quotas.py
@@ -10,14 +10,14 @@
 from peridotdock.decisions.quotas import HostQuotas, HubQuotas, Usage
 from peridotdock.deployment import Deployment
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import RelayRequest
+from peridotdock.loop_iterations import LoopIterations
 from peridotdock.relay.caller import CallerConnection
-from peridotdock.relay.peers import Peers
 from peridotdock.relay.hub_calls import HubCalls
+from peridotdock.relay.peers import Peers
+from peridotdock.relay.requests import RelayRequest
 from peridotdock.relay.settings import Bounds
 from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.schema.messages import QuotaGiven, QuotasFact, QuotaWanted, UsageFact
-from peridotdock.loop_iterations import LoopIterations
 from peridotdock.workspaces import Quota
 
 # Seconds after which the hub says again which quotas are low although that has not changed: by its
--- a/peridotdock/relay/reachability.py
+++ b/peridotdock/relay/reachability.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable, Collection
 
-from peridotdock.fact_table import FactTable, Slot
 from peridotdock.clock import Clock
+from peridotdock.fact_table import FactTable, Slot
 
 
 class Reachability:
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -8,8 +8,8 @@
 from peridotdock.clients.engines import Action, EngineOrder, EngineState
 from peridotdock.decisions.draft import EngineView
 from peridotdock.deployment import EngineSpec
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import load_seconds
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.schema.messages import EngineNews
 
 # Seconds beyond its usual time after which a load that does not show is looked for in a report, and
@@ -189,7 +189,12 @@
         """
         if self.unreported:
             return False
-        if self.loading or self.dropping or self.freeing or self.entry.started_ms != self.started_ms:
+        if (
+            self.loading
+            or self.dropping
+            or self.freeing
+            or self.entry.started_ms != self.started_ms
+        ):
             return True
         listed = {name: set(model.adapters) for name, model in self.entry.models.items()}
         return listed != self.models and now - self.ordered_at <= UPDATE_SECONDS
--- a/peridotdock/relay/request_handler.py
+++ b/peridotdock/relay/request_handler.py
@@ -10,15 +10,15 @@
 from peridotdock.decisions.overload import RefusalReason, retry_after
 from peridotdock.deployment import Deployment, Route
 from peridotdock.errors import Failure, Kind, Ran, failed
-from peridotdock.relay.item_waits import name_item
-from peridotdock.relay.requests import Identity, RelayRequest, RequestHead
-from peridotdock.relay.attempt import StreamSource, CompleteAnswer
+from peridotdock.relay.attempt import CompleteAnswer, StreamSource
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.identity import Identifier
+from peridotdock.relay.item_waits import name_item
 from peridotdock.relay.lag import HostMonitor
 from peridotdock.relay.peers import Peers
 from peridotdock.relay.progress import Progress
 from peridotdock.relay.quotas import Quotas
+from peridotdock.relay.requests import Identity, RelayRequest, RequestHead
 from peridotdock.relay.service import RelayService
 from peridotdock.relay.streaming import relay_stream
 from peridotdock.relay.wire import Wire
@@ -123,7 +123,9 @@
         """Count what a request asks of the engines, by model and adapter."""
         inference = req.head.inference
         if inference is not None:
-            seconds = expected_prefill_seconds(self._service.fleet.estimate_work(progress.service, inference))
+            seconds = expected_prefill_seconds(
+                self._service.fleet.estimate_work(progress.service, inference)
+            )
             now = self._ctx.clock.monotonic()
             self._peers.demand_meter.add(name_item(progress.service, inference), seconds, now)
 
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -8,13 +8,13 @@
 from peridotdock.clock import Clock
 from peridotdock.decisions.overload import connect_timeout
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.requests import AnswerHead, RelayRequest, SendOptions
+from peridotdock.loop_iterations import find_iterations
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
+from peridotdock.relay.requests import AnswerHead, RelayRequest, SendOptions
 from peridotdock.relay.wire import Wire
 from peridotdock.requests import Loss, RequestState, loss_failure
 from peridotdock.timeouts import IterationTimeout
-from peridotdock.loop_iterations import find_iterations
 
 T = TypeVar("T")
 # Called with the head of each answer, and when its request was sent (monotonic seconds).
--- a/peridotdock/relay/service.py
+++ b/peridotdock/relay/service.py
@@ -5,25 +5,25 @@
 from peridotdock.blocklist import Blocklist
 from peridotdock.clients.endpoint import HttpEndpoints, read_all
 from peridotdock.context import Context
-from peridotdock.decisions.retry_budget import RetryBudget
 from peridotdock.decisions.choice import Prediction, uncached_tokens
 from peridotdock.decisions.health import is_overdue
 from peridotdock.decisions.overload import ITERATIONS_TO_ANSWER
+from peridotdock.decisions.retry_budget import RetryBudget
 from peridotdock.deployment import Route
 from peridotdock.errors import Failure, Kind, failed
-from peridotdock.relay.item_waits import name_item
-from peridotdock.relay.requests import RelayRequest
-from peridotdock.relay.attempt import StreamSource, CompleteAnswer
+from peridotdock.loop_iterations import find_iterations
+from peridotdock.relay.attempt import CompleteAnswer, StreamSource
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.choosing import Chooser
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.fleet import RelayFleet
+from peridotdock.relay.item_waits import name_item
 from peridotdock.relay.progress import Progress
-from peridotdock.relay.sending import NOT_RUN_KINDS, SUCCESS, Sender, PendingAnswer, wait_for
+from peridotdock.relay.requests import RelayRequest
+from peridotdock.relay.sending import NOT_RUN_KINDS, SUCCESS, PendingAnswer, Sender, wait_for
 from peridotdock.relay.settings import Bounds
 from peridotdock.relay.wire import Wire
-from peridotdock.requests import RETRY_KINDS, mark_maybe_ran, connection_broke
-from peridotdock.loop_iterations import find_iterations
+from peridotdock.requests import RETRY_KINDS, connection_broke, mark_maybe_ran
 
 # Refused sends of one request: each was not run, but each is an arrival at the service.
 MAX_REFUSALS = 2
@@ -179,9 +179,9 @@
         self._note_send(req, progress, prediction)
         inference = req.head.inference
         tokens = (
-            (
-            (
-            uncached_tokens(prediction.candidate, self.fleet.estimate_work(progress.service, inference))
+            uncached_tokens(
+                prediction.candidate, self.fleet.estimate_work(progress.service, inference)
+            )
             if inference
             else 0
         )
@@ -318,7 +318,9 @@
         if not failed(found) or found.kind is not Kind.DEADLINE or req.head.inference is not None:
             return
         now = self.ctx.clock.monotonic()
-        if is_overdue(now - started_at, expected, ITERATIONS_TO_ANSWER * self._turns.median_length()):
+        if is_overdue(
+            now - started_at, expected, ITERATIONS_TO_ANSWER * self._turns.median_length()
+        ):
             state.health.record_overdue(now)
 
     def note_loss(
--- a/peridotdock/relay/streaming.py
+++ b/peridotdock/relay/streaming.py
@@ -3,11 +3,11 @@
 from collections.abc import AsyncIterator
 
 from peridotdock.errors import Failure, failed
-from peridotdock.relay.requests import RelayRequest
-from peridotdock.relay.attempt import StreamSource, CompleteAnswer
+from peridotdock.relay.attempt import CompleteAnswer, StreamSource
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
 from peridotdock.relay.progress import Progress
+from peridotdock.relay.requests import RelayRequest
 from peridotdock.relay.service import RelayService
 
 # Seconds without a byte after which a stream is taken up elsewhere; callers leave after two.
--- a/peridotdock/relay/views.py
+++ b/peridotdock/relay/views.py
@@ -7,7 +7,7 @@
 from peridotdock.context import Context
 from peridotdock.decisions.freshness import divide_bound
 from peridotdock.frames import deflate_rows
-from peridotdock.relay.following import NEVER, Follower, ApplyRows
+from peridotdock.relay.following import NEVER, ApplyRows, Follower
 from peridotdock.relay.peers import Peers
 from peridotdock.schema.messages import Rows, RowsWanted
 
--- a/peridotdock/relay/waits.py
+++ b/peridotdock/relay/waits.py
@@ -8,12 +8,12 @@
 from peridotdock.decisions.choice import Candidate, Prediction, predict
 from peridotdock.decisions.permits import Permit, retry_after
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.item_waits import ItemWaits
-from peridotdock.relay.requests import RelayRequest
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.fleet import RelayFleet
+from peridotdock.relay.item_waits import ItemWaits
 from peridotdock.relay.permits import EndpointPermits
 from peridotdock.relay.progress import Progress
+from peridotdock.relay.requests import RelayRequest
 from peridotdock.requests import Loss, RequestState, loss_failure
 
 # Seconds between two looks while all endpoints rest: another may have come meanwhile.
@@ -51,7 +51,11 @@
         remaining = req.first_event_deadline - self._ctx.clock.monotonic()
         seconds = backoff_seconds(progress.refusals, remaining, self._ctx.rng.random)
         await asyncio.wait({caller.disconnected}, timeout=seconds)
-        return loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE) if caller.is_disconnected() else None
+        return (
+            loss_failure(RequestState.ADMITTED, Loss.CALLER_GONE)
+            if caller.is_disconnected()
+            else None
+        )
 
     async def wait_until_accepting(
         self,
--- a/peridotdock/request_parsing.py
+++ b/peridotdock/request_parsing.py
@@ -14,7 +14,7 @@
 from peridotdock.items import Item
 from peridotdock.manifest import Accepted
 from peridotdock.prefix import count_tokens, hash_blocks
-from peridotdock.requests import ModelRequest, ServiceRequest, RoutingProfile
+from peridotdock.requests import ModelRequest, RoutingProfile, ServiceRequest
 from peridotdock.schema.manifest import Caller, Service
 
 MODEL_DEADLINE_SECONDS = 120.0
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -13,10 +13,10 @@
     CallerConnection,
     Loss,
     Reply,
-    ServiceRequest,
     RequestState,
-    mark_maybe_ran,
+    ServiceRequest,
     loss_failure,
+    mark_maybe_ran,
 )
 from peridotdock.retries import MAX_SENDS, RetryBudget
 from peridotdock.routing import find_retry_delay
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -16,7 +16,7 @@
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.fleet import EndpointState
-from peridotdock.requests import ModelRequest, CallerConnection, Loss, RequestState, loss_failure
+from peridotdock.requests import CallerConnection, Loss, ModelRequest, RequestState, loss_failure
 
 SEPARATOR = b"\n\n"
 DATA = b"data: "
--- a/peridotdock/watch.py
+++ b/peridotdock/watch.py
@@ -7,11 +7,11 @@
 import asyncio
 from dataclasses import dataclass
 
-from peridotdock.fact_table import FactTable
 from peridotdock.clients.endpoint import HttpEndpoints, Report
 from peridotdock.columns import pack
 from peridotdock.context import Context
 from peridotdock.errors import failed
+from peridotdock.fact_table import FactTable
 from peridotdock.fleet import AGE_UNIT_SECONDS, PREFILL_UNIT_TOKENS, Fleet
 from peridotdock.manifest import Accepted
 from peridotdock.rendezvous import Assignment
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -7,7 +7,6 @@
 from nose2.tools import params
 
 from peridotdock.clients.engines import Action
-from peridotdock.decisions.retry_budget import RetryBudget
 from peridotdock.decisions.choice import Candidate, RequestCost, choose, predict
 from peridotdock.decisions.copies import OVERLOADED_TOKENS
 from peridotdock.decisions.draft import Demand, EngineView
@@ -21,6 +20,7 @@
     retry_after,
 )
 from peridotdock.decisions.placing import make_plan
+from peridotdock.decisions.retry_budget import RetryBudget
 from peridotdock.decisions.waiting import Absence, decide_wait
 from peridotdock.deployment import EngineSpec, Model
 
--- a/tests/relay/test_lag.py
+++ b/tests/relay/test_lag.py
@@ -9,9 +9,9 @@
 from peridotdock.context import build_context
 from peridotdock.decisions.overload import UNREADY_SECONDS
 from peridotdock.events import Filter
+from peridotdock.loop_iterations import LoopIterations, MeasuredLoop
 from peridotdock.relay.lag import OVERLOADED_CHECK_SECONDS, DescriptorCount, HostMonitor
 from peridotdock.schema.settings import Settings
-from peridotdock.loop_iterations import LoopIterations, MeasuredLoop
 from tests.fakes import FakeClock
 
 CFG = Settings("h1", "north", "http://unused", "a key of sixteen")
--- a/tests/relay/test_late.py
+++ b/tests/relay/test_late.py
@@ -11,10 +11,10 @@
 from peridotdock.decisions.draft import Demand
 from peridotdock.deployment import Deployment, Service
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.relay.ordering import Orderer
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
+from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from tests.builders import make_ctx
 from tests.fakes import AlwaysLeads, FakeClock, settle
 from tests.relay.deployment import BOUNDS
--- a/tests/relay/test_loads.py
+++ b/tests/relay/test_loads.py
@@ -6,11 +6,11 @@
 from peridotdock.decisions.draft import Demand
 from peridotdock.links import Link
 from peridotdock.membership import Member
-from peridotdock.relay.requests import InferenceSpec
+from peridotdock.relay.aggregation import encode_runs, encode_work
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.peers import HUB_TOPICS, Peers
+from peridotdock.relay.requests import InferenceSpec
 from peridotdock.relay.settings import Address, HostSettings, Listen
-from peridotdock.relay.aggregation import encode_runs, encode_work
 from peridotdock.schema.messages import EngineNews, Hello, HostFact, OrdersFact
 from tests.builders import facts_of, make_ctx
 from tests.fakes import FakeClock
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -5,16 +5,16 @@
 from dataclasses import replace
 from types import SimpleNamespace
 
-from peridotdock.fact_table import FactTable
 from peridotdock.clients.tables import TableView
 from peridotdock.decisions.freshness import retry_delay
 from peridotdock.errors import Failure, Kind
+from peridotdock.fact_table import FactTable
 from peridotdock.membership import Membership
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.following import Follower
 from peridotdock.relay.leadership import Leadership
 from peridotdock.relay.peers import Peers
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.schema.messages import EngineNews, HostFact, OrdersFact, Rows, WantsFact
 from tests.builders import facts_of, make_ctx
 from tests.fakes import FakeClock, FakePlatform, settle
@@ -178,7 +178,9 @@
 class StaleFactTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.clock = FakeClock()
-        self.own_board, self.other_board = FactTable("h1", 1, self.clock), FactTable("h2", 1, self.clock)
+        self.own_board, self.other_board = FactTable("h1", 1, self.clock), FactTable(
+            "h2", 1, self.clock
+        )
 
     async def test_unreachable_reports_of_a_dead_host_expire_with_it(self):
         """An engine gets no order for two minutes: a host that died could not connect to it."""
--- a/tests/relay/test_ordering.py
+++ b/tests/relay/test_ordering.py
@@ -12,7 +12,6 @@
 from peridotdock.clients.engines import Action, EngineOrder, EngineState
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.errors import failed
-from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.leadership import (
     HOLDER_ACT_SECONDS,
     LEASE_LAPSE_SECONDS,
@@ -20,6 +19,7 @@
     Leadership,
 )
 from peridotdock.relay.records import REPORT_LAG_SECONDS, EngineRecord
+from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.schema.messages import EngineNews
 from tests.builders import make_ctx
 from tests.fakes import FakeClock, FakePlatform
--- a/tests/relay/test_outages.py
+++ b/tests/relay/test_outages.py
@@ -4,10 +4,10 @@
 import unittest
 from dataclasses import replace
 
-from peridotdock.fact_table import FactTable
 from peridotdock.clients.engines import Action
 from peridotdock.clients.tables import TableChanges, TableView
 from peridotdock.decisions.freshness import MIN_BOUND_SECONDS, divide_bound
+from peridotdock.fact_table import FactTable
 from peridotdock.frames import decode, encode_update
 from peridotdock.links import QueuedRows
 from peridotdock.relay.following import Follower
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -9,8 +9,8 @@
 import time
 import unittest
 
-from peridotdock.relay.lag import DescriptorCount
 from peridotdock.loop_iterations import MeasuredLoop
+from peridotdock.relay.lag import DescriptorCount
 from tests.relay.deployment import Deployment
 
 HEAD = (
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -15,13 +15,13 @@
     Blocklist,
     EndpointStart,
 )
-from peridotdock.fact_table import FactTable
+from peridotdock.blocklist_store import BLOCKED_KEY, BlocklistStore
 from peridotdock.clients.platform import Row
 from peridotdock.decisions.poison import find_poison
 from peridotdock.events import Filter
-from peridotdock.blocklist_store import BLOCKED_KEY, BlocklistStore
-from peridotdock.relay.requests import EndpointEntry
+from peridotdock.fact_table import FactTable
 from peridotdock.relay.fleet import ASSUMED_ENDED_SECONDS, RelayFleet
+from peridotdock.relay.requests import EndpointEntry
 from peridotdock.requests import hash_content
 from peridotdock.trials import TRIAL_SECONDS
 from tests.builders import facts_of, make_ctx
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -15,10 +15,10 @@
 from peridotdock.decisions.pacing import Denial, PaceLimit, Pacer, QueuedPrompt
 from peridotdock.decisions.permits import MAX_ADVANCE_SECONDS, Permits, retry_after
 from peridotdock.platform.wire import PlatformWire
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.endpoint import EndpointState, new_start_state
+from peridotdock.relay.endpoint_notices import PUBLISHED_TOPIC, RECEIVED_TOPIC
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.endpoint_notices import RECEIVED_TOPIC, PUBLISHED_TOPIC
+from peridotdock.relay.requests import EndpointEntry
 from tests.fakes import FakeClock
 from tests.relay.deployment import Deployment
 from tests.relay.test_relay import run
--- a/tests/relay/test_reach.py
+++ b/tests/relay/test_reach.py
@@ -7,7 +7,7 @@
 
 from peridotdock.fact_table import FactTable
 from peridotdock.links import SILENT_SECONDS
-from peridotdock.membership import ISOLATED_SECONDS, DISCONNECTED_SECONDS, Membership
+from peridotdock.membership import DISCONNECTED_SECONDS, ISOLATED_SECONDS, Membership
 from peridotdock.relay.reachability import Reachability
 from peridotdock.schema.messages import HostFact, LinksFact
 from tests.fakes import FakeClock
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -12,8 +12,8 @@
 from peridotdock.decisions.backoff import FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SHARE, backoff_seconds
 from peridotdock.decisions.health import Health
 from peridotdock.errors import Failure, Kind
-from peridotdock.relay.requests import EndpointEntry, LoadedModel, InferenceSpec
 from peridotdock.relay.endpoint import MISSING_ITEM_SECONDS, EndpointState, ReceivedUpdate
+from peridotdock.relay.requests import EndpointEntry, InferenceSpec, LoadedModel
 from peridotdock.relay.streaming import SILENCE_SECONDS, PauseTracker
 from peridotdock.schema.messages import EngineNews
 from tests.fakes import FakeClock
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -13,12 +13,12 @@
 from peridotdock.decisions.eviction import EvictionLevel, find_victims
 from peridotdock.errors import Failure, Kind
 from peridotdock.platform.endpoints import decode_report
-from peridotdock.relay.requests import EndpointEntry, LoadedModel, InferenceSpec, PromptPart
 from peridotdock.relay.endpoint import RemoteLoad
 from peridotdock.relay.fleet import RelayFleet
-from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.relay.ordering import Orderer
 from peridotdock.relay.records import EngineRecord
+from peridotdock.relay.requests import EndpointEntry, InferenceSpec, LoadedModel, PromptPart
+from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.schema.messages import EngineNews
 from tests.builders import make_ctx
 from tests.fakes import AlwaysLeads, FakeClock
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -8,10 +8,10 @@
 
 from peridotdock.decisions.health import Health
 from peridotdock.platform.wire import PlatformWire
-from peridotdock.relay.requests import EndpointEntry
 from peridotdock.relay.endpoint import EndpointState, new_start_state
 from peridotdock.relay.fleet import RelayFleet
 from peridotdock.relay.grants import GrantedEndpoint
+from peridotdock.relay.requests import EndpointEntry
 from tests.fakes import FakeClock
 from tests.relay.deployment import Deployment
 from tests.relay.test_rate_limits import burst
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -9,8 +9,8 @@
 from peridotdock.deployment import Deployment as DeploymentSpec
 from peridotdock.errors import Kind
 from peridotdock.platform.documents import decode_deployment, hide_keys
-from peridotdock.relay.requests import RequestHead
 from peridotdock.relay.identity import Identifier
+from peridotdock.relay.requests import RequestHead
 from peridotdock.relay.settings import Bounds
 from peridotdock.workspaces import Quota, Workspace
 from tests.relay.deployment import BOUNDS, CONFIG, ROUTES, Deployment
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -14,7 +14,6 @@
 from peridotdock.drafts import Copy, EngineView, make_draft
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.fleet import MAX_SENT, EndpointState
-from peridotdock.scaling import queue_cost, spread_load
 from peridotdock.keys import KEPT_PERIODS, PERIOD_SECONDS, KeyTable, Owner, Record, read_owner
 from peridotdock.ledger import State
 from peridotdock.limits import LOAN_SECONDS, CallerLimits
@@ -24,6 +23,7 @@
 from peridotdock.requests import Reply, RoutingProfile
 from peridotdock.retries import RetryBudget
 from peridotdock.routing import admit, choose, predict
+from peridotdock.scaling import queue_cost, spread_load
 from peridotdock.schema.messages import HostFact
 from tests import builders
 from tests.fakes import FakeClock
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -18,10 +18,10 @@
 
 from peridotdock import logs, publishing
 from peridotdock import manifest as manifests
-from peridotdock.fact_table import FactTable
 from peridotdock.config import load_settings
 from peridotdock.errors import ANSWERS, Failure, Kind, Ran, failed
 from peridotdock.events import Filter, HybridClock, Timeline
+from peridotdock.fact_table import FactTable
 from peridotdock.frames import (
     MAX_BODY_BYTES,
     decode,
@@ -29,9 +29,9 @@
     encode_entry,
     encode_update,
     make_entry,
-    verify_proof,
-    read_body,
     make_proof,
+    read_body,
+    verify_proof,
 )
 from peridotdock.requests import KIND_BY_LOSS, RequestState, mark_maybe_ran
 from peridotdock.schema.messages import (
