--- a/peridotdock/blocklist_store.py
+++ b/peridotdock/blocklist_store.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from peridotdock.blocklist import REMEMBERED_SECONDS, Blocklist
-from peridotdock.clients.platform import Platform, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Transaction, commit_and_resolve
 from peridotdock.context import Context
 from peridotdock.errors import failed
 from peridotdock.schema.messages import EndpointEnd
@@ -69,7 +69,7 @@
         newest = sorted(ends, key=lambda end: end.age)[:MAX_STORED_ENDS]
         value = {"written_at": written_at, "ends": [asdict(end) for end in newest]}
         tx = Transaction({BLOCKED_KEY: self._version}, {BLOCKED_KEY: value})
-        outcome = await commit_surely(self._store, tx)
+        outcome = await commit_and_resolve(self._store, tx)
         if failed(outcome):
             # Another host wrote, or the store is away: the row is read again at the next step.
             self._has_read = False
--- a/peridotdock/claims.py
+++ b/peridotdock/claims.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from peridotdock.clients.platform import Platform, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Transaction, commit_and_resolve
 from peridotdock.errors import Failure, Kind, Ran, failed
 from peridotdock.keys import KeyTable, Owner, read_owner
 
@@ -32,7 +32,7 @@
         return named
     row = claim_row_key(caller, key)
     value = {"owner": incarnation, "period": table.period(), "at": int(now)}
-    outcome = await commit_surely(platform, Transaction({row: 0}, {row: value}))
+    outcome = await commit_and_resolve(platform, Transaction({row: 0}, {row: value}))
     if not failed(outcome):
         return Owner(incarnation, table.period())
     if outcome.kind is Kind.CONFLICT:
@@ -57,5 +57,5 @@
     if not batch:
         return 0
     checks = {key: rows[key].version for key in batch}
-    outcome = await commit_surely(platform, Transaction(checks, dict.fromkeys(batch)))
+    outcome = await commit_and_resolve(platform, Transaction(checks, dict.fromkeys(batch)))
     return 0 if failed(outcome) else len(batch)
--- a/peridotdock/cli/calls.py
+++ b/peridotdock/cli/calls.py
@@ -38,9 +38,9 @@
         return self._call("POST", path, body)
 
     def _call(self, method: str, path: str, body: bytes | None) -> dict[str, Any] | Refusal:
-        head = {"authorization": f"Bearer {self._token}", "content-type": "application/json"}
+        headers = {"authorization": f"Bearer {self._token}", "content-type": "application/json"}
         request = urllib.request.Request(
-            f"{self._url}/admin/{path}", data=body, headers=head, method=method
+            f"{self._url}/admin/{path}", data=body, headers=headers, method=method
         )
         try:
             with self._opener.open(request, timeout=TIMEOUT_SECONDS) as resp:
--- a/peridotdock/cli/operators.py
+++ b/peridotdock/cli/operators.py
@@ -17,8 +17,8 @@
 from peridotdock.reasons import find_reasons
 from peridotdock.status import ExitStatus
 
-FORMS = click.Choice(["auto", "table", "json"])
-CONTEXT = {"help_option_names": ["-h", "--help"], "auto_envvar_prefix": "PERIDOTDOCK"}
+OUTPUT_FORMATS = click.Choice(["auto", "table", "json"])
+CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "auto_envvar_prefix": "PERIDOTDOCK"}
 
 
 class Tool:
@@ -37,21 +37,25 @@
         """Return an outcome, or end with the refusal it is."""
         if not isinstance(outcome, Refusal):
             return outcome
-        self.writer.problem(outcome.message)
+        self.writer.write_error(outcome.message)
         for error in outcome.errors:
-            self.writer.problem(error)
+            self.writer.write_error(error)
         raise click.exceptions.Exit(outcome.status)
 
 
 pass_tool = click.make_pass_decorator(Tool)
 
 
-@click.group(context_settings=CONTEXT)
+@click.group(context_settings=CONTEXT_SETTINGS)
 @click.version_option(__version__)
 @click.option("--host", default="http://127.0.0.1:8080", help="URL of any host.", show_default=True)
 @click.option("--operator-token", default="", help="Operators' token.", show_envvar=True)
 @click.option(
-    "--output", "form", type=FORMS, default="auto", help="auto: a table on a terminal, else JSON."
+    "--output",
+    "form",
+    type=OUTPUT_FORMATS,
+    default="auto",
+    help="auto: a table on a terminal, else JSON.",
 )
 @click.pass_context
 def main(ctx: click.Context, host: str, operator_token: str, form: str) -> None:
@@ -79,7 +83,7 @@
     checked = check_all(file.read())
     if checked.manifest is None:
         for error in checked.errors:
-            tool.writer.problem(error)
+            tool.writer.write_error(error)
         raise click.exceptions.Exit(ExitStatus.INVALID)
     tool.writer.record({"status": "valid", "release": checked.manifest.release})
 
@@ -108,7 +112,7 @@
     checked = check_all(file.read())
     if checked.manifest is None:
         for error in checked.errors:
-            tool.writer.problem(error)
+            tool.writer.write_error(error)
         raise click.exceptions.Exit(ExitStatus.INVALID)
     changes = diff(tool.fetch("manifest")["manifest"], checked.document)
     rows = [
@@ -168,11 +172,11 @@
     for host in tool.fetch("hosts")["rows"]:
         found = HostCaller(f"http://{host['entry']}", tool.token).get(query)
         if isinstance(found, Refusal):
-            tool.writer.problem(f"{host['host']} is left out: {found.message}")
+            tool.writer.write_error(f"{host['host']} is left out: {found.message}")
             continue
         rows += found["rows"]
     rows.sort(key=lambda row: (row["stamp"], row["host"]))
-    tool.writer.rows([{"time": read_time(row["stamp"]), **row} for row in rows])
+    tool.writer.rows([{"time": format_time(row["stamp"]), **row} for row in rows])
 
 
 @main.command()
@@ -190,7 +194,7 @@
     tool.writer.rows(find_reasons(lines, since, until))
 
 
-def read_time(stamp: int) -> str:
+def format_time(stamp: int) -> str:
     """Return the time of day of a stamp, for people."""
     return datetime.fromtimestamp((stamp >> 16) / 1000, UTC).isoformat(timespec="milliseconds")
 
--- a/peridotdock/cli/relay.py
+++ b/peridotdock/cli/relay.py
@@ -10,7 +10,7 @@
 from collections.abc import MutableMapping
 
 
-def ease_imports(environ: MutableMapping[str, str]) -> None:
+def speed_up_imports(environ: MutableMapping[str, str]) -> None:
     """Do without what makes imports slow and what this daemon never uses.
 
     aiohttp reads the system's certificates when it is imported, for connections with TLS, of which
@@ -24,7 +24,7 @@
 
 def main() -> None:
     """Run with the process's environment and streams."""
-    ease_imports(os.environ)
+    speed_up_imports(os.environ)
     from peridotdock.context import Streams
     from peridotdock.relay.daemon import run
 
--- a/peridotdock/clients/endpoint.py
+++ b/peridotdock/clients/endpoint.py
@@ -15,21 +15,21 @@
 from yarl import URL
 
 from peridotdock.clients.http import (
-    BROKEN,
-    CONNECT_SECONDS,
+    TRANSFER_ERRORS,
+    CONNECT_TIMEOUT_SECONDS,
     STILL_WANTED,
-    UNREACHABLE,
+    CONNECT_ERRORS,
     Pool,
-    WatchedResponse,
+    ConnectionAwareResponse,
     Withdrawn,
     always,
-    read_rest,
+    read_retry_after,
     send_once,
 )
 from peridotdock.errors import Failure, Kind, failed
 
-REPORT_SECONDS = 1.0
-PROBE_SECONDS = 1.0
+REPORT_TIMEOUT_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 NOT_RUN_HEADER = "x-not-run"
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
 MAX_REPORT_BYTES = 4 * 1024 * 1024
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class HeldItem:
+class LoadedItem:
     """An item on an engine, by the engine's word: where, how large, and whether it can serve."""
 
     accelerators: list[int]
@@ -66,7 +66,7 @@
     """
 
     boot: str
-    items: dict[str, HeldItem]
+    items: dict[str, LoadedItem]
     load: EngineLoad
     leaving: bool = False
     age: float = 0.0
@@ -89,17 +89,18 @@
 class Call:
     """A request to an endpoint, as it goes out.
 
-    ``once`` forbids the library's own repeat. ``connect`` is how long a new connection may take, in
-    seconds. ``wanted`` tells, when there is a connection, whether it is still to be sent.
+    ``at_most_once`` forbids the library's own repeat. ``connect_timeout`` is how long a new
+    connection may take, in seconds. ``still_wanted`` tells, when there is a connection, whether it
+    is still to be sent.
     """
 
     method: str
     path: str
     headers: Mapping[str, str]
     body: bytes
-    once: bool
-    connect: float = CONNECT_SECONDS
-    wanted: Callable[[], bool] = always
+    at_most_once: bool
+    connect_timeout: float = CONNECT_TIMEOUT_SECONDS
+    still_wanted: Callable[[], bool] = always
 
 
 @dataclass(frozen=True)
@@ -110,19 +111,19 @@
     done: bool
 
 
-class Opened:
+class OpenResponse:
     """An answer that has begun. It must be released; only a finished one frees its connection."""
 
-    def __init__(self, resp: WatchedResponse, stack: AsyncExitStack):
+    def __init__(self, resp: ConnectionAwareResponse, stack: AsyncExitStack):
         self._resp = resp
         self._stack = stack
         self.status = resp.status
         self.headers = resp.headers
 
-    async def read_some(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes, or none at the end. Raises what :data:`BROKEN` lists."""
         part = await self._resp.content.readany()
-        if not part and not await self._resp.ended_whole():
+        if not part and not await self._resp.is_complete():
             raise aiohttp.ClientPayloadError("the connection was reset before its end")
         return part
 
@@ -140,7 +141,7 @@
 class Endpoints(Protocol):
     """What peridotdock asks of endpoints."""
 
-    async def open(self, url: str, call: Call) -> Opened | Failure:
+    async def open(self, url: str, call: Call) -> OpenResponse | Failure:
         """Send a request; the failure tells whether it may have run."""
 
     async def report(self, url: str, since: int) -> Report | Failure:
@@ -181,16 +182,16 @@
         for pool in (*self._pools.values(), *self._control.values()):
             await pool.close()
 
-    def suspect(self, url: str) -> None:
+    def renew_connections(self, url: str) -> None:
         """Take no kept connection to ``url`` again: one was found dead, all are suspect."""
         self._pool(url).renew()
         self._control_pool(url).renew()
 
-    async def open(self, url: str, call: Call) -> Opened | Failure:
+    async def open(self, url: str, call: Call) -> OpenResponse | Failure:
         """Send a request and wait for the head of its answer."""
         stack = AsyncExitStack()
         pool = self._pool(url)
-        wanted = STILL_WANTED.set(call.wanted)
+        wanted = STILL_WANTED.set(call.still_wanted)
         try:
             session = await stack.enter_async_context(pool.use())
             resp = await session.request(
@@ -199,13 +200,13 @@
                 headers=call.headers,
                 data=call.body or None,
                 allow_redirects=False,
-                timeout=aiohttp.ClientTimeout(total=None, sock_connect=call.connect),
-                middlewares=(send_once(),) if call.once else (),
+                timeout=aiohttp.ClientTimeout(total=None, sock_connect=call.connect_timeout),
+                middlewares=(send_once(),) if call.at_most_once else (),
             )
-        except (*UNREACHABLE, Withdrawn) as exc:
+        except (*CONNECT_ERRORS, Withdrawn) as exc:
             await stack.aclose()
             return Failure(Kind.ENDPOINT_UNREACHABLE, type(exc).__name__)
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             await stack.aclose()
             return Failure(Kind.ENDPOINT_LOST, type(exc).__name__)
         except BaseException:
@@ -213,13 +214,15 @@
             raise
         finally:
             STILL_WANTED.reset(wanted)
-        pool.respect(resp.headers)
+        pool.apply_keep_alive(resp.headers)
         refused = self._not_run_header is not None and self._not_run_header in resp.headers
         if refused and resp.status in (429, 503):
             resp.close()
             await stack.aclose()
-            return Failure(Kind.ENDPOINT_REFUSED, retry_after=read_rest(resp.headers) or None)
-        return Opened(resp, stack)
+            return Failure(
+                Kind.ENDPOINT_REFUSED, retry_after=read_retry_after(resp.headers) or None
+            )
+        return OpenResponse(resp, stack)
 
     async def control_call(
         self,
@@ -241,9 +244,9 @@
                 ) as resp,
             ):
                 return resp.status, await resp.content.read(MAX_REPORT_BYTES)
-        except UNREACHABLE as exc:
+        except CONNECT_ERRORS as exc:
             return Failure(Kind.ENDPOINT_UNREACHABLE, type(exc).__name__)
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             if isinstance(exc, asyncio.TimeoutError):
                 pool.renew()
             return Failure(Kind.ENDPOINT_LOST, type(exc).__name__)
@@ -251,7 +254,7 @@
     async def report(self, url: str, since: int) -> Report | Failure:
         """Read a report; anything that cannot be read is a failure of the endpoint."""
         path = f"/control/report?since={since}"
-        outcome = await self.control_call("GET", url, path, REPORT_SECONDS)
+        outcome = await self.control_call("GET", url, path, REPORT_TIMEOUT_SECONDS)
         return outcome if failed(outcome) else read_as(outcome, Report)
 
     async def order(self, url: str, order: Order, timeout: float) -> Failure | None:
@@ -274,7 +277,7 @@
         """Ask for the state of a stream, always over a new connection."""
         self._control_pool(url).renew()
         path = f"/v1/streams/{stream}?probe=1"
-        outcome = await self.control_call("GET", url, path, PROBE_SECONDS)
+        outcome = await self.control_call("GET", url, path, PROBE_TIMEOUT_SECONDS)
         if failed(outcome):
             return outcome
         return None if outcome[0] == 404 else read_as(outcome, StreamState)
@@ -284,7 +287,7 @@
 
         It is not waited for: the caller's final answer must not be held up by a dead engine.
         """
-        work = self.control_call("DELETE", url, f"/v1/streams/{stream}", PROBE_SECONDS)
+        work = self.control_call("DELETE", url, f"/v1/streams/{stream}", PROBE_TIMEOUT_SECONDS)
         task = asyncio.ensure_future(work)
         self._cancels.add(task)
         task.add_done_callback(self._cancels.discard)
@@ -301,11 +304,11 @@
         return Failure(Kind.ENDPOINT_ERROR, str(exc))
 
 
-async def read_all(opened: Opened, limit: int = MAX_ANSWER_BYTES) -> bytes | Failure:
+async def read_all(opened: OpenResponse, limit: int = MAX_ANSWER_BYTES) -> bytes | Failure:
     """Read an answer to its end; one that breaks off or is too long is a failure."""
     parts: list[bytes] = []
     size = 0
-    async for part in iterate(opened):
+    async for part in iter_chunks(opened):
         if failed(part):
             return part
         size += len(part)
@@ -315,12 +318,12 @@
     return b"".join(parts)
 
 
-async def iterate(opened: Opened) -> AsyncIterator[bytes | Failure]:
+async def iter_chunks(opened: OpenResponse) -> AsyncIterator[bytes | Failure]:
     """Give the parts of an answer; a break is the last one given, as a failure."""
     while True:
         try:
-            part = await opened.read_some()
-        except BROKEN as exc:
+            part = await opened.read_chunk()
+        except TRANSFER_ERRORS as exc:
             yield Failure(Kind.ANSWER_CUT, type(exc).__name__)
             return
         if not part:
--- a/peridotdock/clients/engines.py
+++ b/peridotdock/clients/engines.py
@@ -40,7 +40,7 @@
     HOLDS_ALREADY = "holds_already"
     BUSY = "busy"
     FENCED = "fenced"
-    ANOTHER = "another"
+    WRONG_ENGINE = "another"
     REFUSED = "refused"
 
 
@@ -55,10 +55,10 @@
     seq: int
     busy: bool
     models: Mapping[str, LoadedModel]
-    coming: frozenset[str]
+    pending_adapters: frozenset[str]
     in_memory: frozenset[str]
     on_disk: frozenset[str]
-    born: int = 0
+    started_ms: int = 0
 
 
 class Engines(Protocol):
--- a/peridotdock/clients/http.py
+++ b/peridotdock/clients/http.py
@@ -18,11 +18,11 @@
 
 from peridotdock.timeouts import IterationTimeout
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # Turns of the loop from the one in which the system has made a connection to its first use.
-CONNECT_TURNS = 4
-UNREACHABLE = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-BROKEN = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
+CONNECT_ITERATIONS = 4
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+TRANSFER_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
 
 
 # Failure: something on the way forgets a connection, or the other end's machine is gone. It shows
@@ -35,12 +35,12 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2_000),
 )
-KEEP_ALIVE = re.compile(r"timeout\s*=\s*(\d+)")
+KEEP_ALIVE_PATTERN = re.compile(r"timeout\s*=\s*(\d+)")
 # Seconds before the other end closes an idle connection from which on it is not taken again: a
 # request may be on its way for as long, beside a loop or a link that is behind.
-KEEP_ALIVE_MARGIN = 0.5
+KEEP_ALIVE_MARGIN_SECONDS = 0.5
 # Headers that the library would add; a relayed request must reach its endpoint as it was sent.
-ADDED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 def open_socket(info: aiohttp.AddrInfoType) -> socket.socket:
@@ -70,32 +70,32 @@
     return middleware
 
 
-class WatchedResponse(aiohttp.ClientResponse):
+class ConnectionAwareResponse(aiohttp.ClientResponse):
     """An answer that can tell how its connection ended.
 
     Failure guarded against: an answer without a length ends with its connection, and the library
     takes a reset for that end too. Half an answer would then be passed on as the whole.
     """
 
-    ending: asyncio.Future[None] | None = None
+    connection_closed: asyncio.Future[None] | None = None
 
-    async def start(self, connection: Any) -> "WatchedResponse":
+    async def start(self, connection: Any) -> "ConnectionAwareResponse":
         """Begin to read, with an eye on the connection."""
-        self.ending = connection.protocol.closed
-        if self.ending is not None:
-            self.ending.add_done_callback(asyncio.Future.exception)
+        self.connection_closed = connection.protocol.closed
+        if self.connection_closed is not None:
+            self.connection_closed.add_done_callback(asyncio.Future.exception)
         await super().start(connection)
         return self
 
-    async def ended_whole(self) -> bool:
+    async def is_complete(self) -> bool:
         """Tell whether the answer, read to its end, is whole."""
         framed = "Content-Length" in self.headers or "Transfer-Encoding" in self.headers
         if framed or self.method == "HEAD":
             return True
-        if self.ending is None:
+        if self.connection_closed is None:
             return False
-        await asyncio.wait({self.ending}, timeout=CONNECT_SECONDS)
-        return self.ending.done() and self.ending.exception() is None
+        await asyncio.wait({self.connection_closed}, timeout=CONNECT_TIMEOUT_SECONDS)
+        return self.connection_closed.done() and self.connection_closed.exception() is None
 
 
 class Withdrawn(aiohttp.ClientError):
@@ -124,14 +124,14 @@
         if timeout.sock_connect is None:
             conn = await super().connect(req, traces, timeout)
         else:
-            async with IterationTimeout(timeout.sock_connect, CONNECT_TURNS):
+            async with IterationTimeout(timeout.sock_connect, CONNECT_ITERATIONS):
                 conn = await super().connect(req, traces, aiohttp.ClientTimeout(total=None))
         if STILL_WANTED.get()():
             return conn
         conn.release()
         raise Withdrawn("not sent")
 
-    def keep_for(self, seconds: float) -> None:
+    def limit_idle_time(self, seconds: float) -> None:
         """Take no connection again that has been idle for longer."""
         self._keepalive_timeout = min(self._keepalive_timeout, seconds)
 
@@ -146,57 +146,59 @@
 
     def __init__(self, limit: int = 0, idle_seconds: float = 15.0):
         self._limit = limit
-        self._idle = idle_seconds
+        self._idle_seconds = idle_seconds
         self._current: aiohttp.ClientSession | None = None
-        self._users: Counter[aiohttp.ClientSession] = Counter()
+        self._use_counts: Counter[aiohttp.ClientSession] = Counter()
         self._closing: set[asyncio.Future[None]] = set()
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._current is None:
             connector = Connector(
-                limit=self._limit, keepalive_timeout=self._idle, socket_factory=open_socket
+                limit=self._limit, keepalive_timeout=self._idle_seconds, socket_factory=open_socket
             )
             self._current = aiohttp.ClientSession(
                 connector=connector,
                 auto_decompress=False,
                 cookie_jar=aiohttp.DummyCookieJar(),
-                skip_auto_headers=ADDED_HEADERS,
-                response_class=WatchedResponse,
-                timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS),
+                skip_auto_headers=AUTO_HEADERS,
+                response_class=ConnectionAwareResponse,
+                timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
             )
         return self._current
 
     @asynccontextmanager
     async def use(self) -> AsyncIterator[aiohttp.ClientSession]:
         """Lend the session in use for one request."""
-        session = self._open()
-        self._users[session] += 1
+        session = self._get_session()
+        self._use_counts[session] += 1
         try:
             yield session
         finally:
-            self._users[session] -= 1
-            if not self._users[session]:
-                del self._users[session]
+            self._use_counts[session] -= 1
+            if not self._use_counts[session]:
+                del self._use_counts[session]
                 if session is not self._current:
                     await session.close()
 
-    def respect(self, headers: Mapping[str, str]) -> None:
+    def apply_keep_alive(self, headers: Mapping[str, str]) -> None:
         """Keep idle connections no longer than the other end says that it does.
 
         Failure guarded against: a request goes out on a connection that the other end is closing at
         that moment, and is lost. If it may run once only, nobody can tell whether it has, and its
         caller is told 502.
         """
-        found = KEEP_ALIVE.search(headers.get("Keep-Alive", ""))
+        found = KEEP_ALIVE_PATTERN.search(headers.get("Keep-Alive", ""))
         if found is None or self._current is None:
             return
-        self._idle = min(self._idle, max(0.0, int(found[1]) - KEEP_ALIVE_MARGIN))
-        self._current.connector.keep_for(self._idle)
+        self._idle_seconds = min(
+            self._idle_seconds, max(0.0, int(found[1]) - KEEP_ALIVE_MARGIN_SECONDS)
+        )
+        self._current.connector.limit_idle_time(self._idle_seconds)
 
     def renew(self) -> None:
         """Take no kept connection again; those in use go on until their request ends."""
         session, self._current = self._current, None
-        if session is None or self._users[session]:
+        if session is None or self._use_counts[session]:
             return
         closing = asyncio.ensure_future(session.close())
         self._closing.add(closing)
@@ -204,14 +206,14 @@
 
     async def close(self) -> None:
         """Close every connection."""
-        sessions = {*self._users, *([self._current] if self._current else [])}
+        sessions = {*self._use_counts, *([self._current] if self._current else [])}
         self._current = None
         for session in sessions:
             await session.close()
         await asyncio.gather(*self._closing, return_exceptions=True)
 
 
-def read_rest(headers: Mapping[str, str]) -> float:
+def read_retry_after(headers: Mapping[str, str]) -> float:
     """Return the seconds of Retry-After, 0 where there is none or it can't be read.
 
     Dates are not read: what refuses a request speaks of moments.
--- a/peridotdock/clients/platform.py
+++ b/peridotdock/clients/platform.py
@@ -12,11 +12,11 @@
 
 import aiohttp
 
-from peridotdock.clients.http import BROKEN, UNREACHABLE, Pool
+from peridotdock.clients.http import TRANSFER_ERRORS, CONNECT_ERRORS, Pool
 from peridotdock.errors import Failure, Kind, failed
 
 TIMEOUT_SECONDS = 2.0
-RESOLVE_TRIES = 3
+MAX_RESOLVE_ATTEMPTS = 3
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
 
     id: str
     peer: str
-    leaving: bool
+    draining: bool
 
 
 class Platform(Protocol):
@@ -77,11 +77,11 @@
     async def list_hosts(self) -> list[ListedHost] | Failure:
         """Return the lagging list of live and leaving hosts."""
 
-    async def register_host(self, host: str, peer: str, leaving: bool) -> Failure | None:
+    async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
         """Put this host on the list."""
 
 
-async def commit_surely(platform: Platform, tx: Transaction) -> Committed | Failure:
+async def commit_and_resolve(platform: Platform, tx: Transaction) -> Committed | Failure:
     """Commit, and find out what happened when the answer is lost.
 
     Failure guarded against: the answer is lost after the write took effect, or the write is
@@ -90,19 +90,19 @@
     of the sends takes effect, and after a conflict the row says whether it was ours.
     """
     outcome = await platform.commit(tx)
-    for _ in range(RESOLVE_TRIES):
+    for _ in range(MAX_RESOLVE_ATTEMPTS):
         if not failed(outcome) or outcome.kind is not Kind.OUTCOME_UNKNOWN:
             break
         again = await platform.commit(tx)
         if failed(again) and again.kind is Kind.CONFLICT:
-            return await read_back(platform, tx)
+            return await resolve_conflict(platform, tx)
         if failed(again) and again.kind is Kind.PLATFORM_DOWN:
             continue
         outcome = again
     return outcome
 
 
-async def read_back(platform: Platform, tx: Transaction) -> Committed | Failure:
+async def resolve_conflict(platform: Platform, tx: Transaction) -> Committed | Failure:
     """Tell after a conflict whether an earlier send of ``tx`` had taken effect."""
     rows = await platform.read(tx.writes)
     if failed(rows):
@@ -136,9 +136,9 @@
                 ) as resp,
             ):
                 return resp.status, await resp.read()
-        except UNREACHABLE as exc:
+        except CONNECT_ERRORS as exc:
             return Failure(Kind.PLATFORM_DOWN, type(exc).__name__)
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             if isinstance(exc, asyncio.TimeoutError):
                 self._pool.renew()
             return Failure(Kind.OUTCOME_UNKNOWN, type(exc).__name__)
@@ -208,8 +208,8 @@
             return found
         return [ListedHost(row["id"], row["peer"], bool(row.get("leaving"))) for row in found]
 
-    async def register_host(self, host: str, peer: str, leaving: bool) -> Failure | None:
+    async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
         """Put this host on the list."""
-        body = {"id": host, "peer": peer, "leaving": leaving}
+        body = {"id": host, "peer": peer, "leaving": draining}
         found = await self._fetch("POST", "/hosts", body)
         return found if failed(found) else None
--- a/peridotdock/clients/tables.py
+++ b/peridotdock/clients/tables.py
@@ -30,7 +30,7 @@
         """Return all rows of a table."""
 
     async def follow(
-        self, table: str, after: int, hold: float, answer: float
+        self, table: str, after: int, hold_seconds: float, answer_seconds: float
     ) -> TableChanges | Failure:
         """Return what changed after a version, waiting up to ``hold`` seconds for a first change.
 
@@ -38,5 +38,5 @@
         Kinds: history_gone when the store no longer has that history, platform_down otherwise.
         """
 
-    def suspect(self) -> None:
+    def renew_connections(self) -> None:
         """Take no kept connection again: a call on one of them may never be answered."""
--- a/peridotdock/controllers.py
+++ b/peridotdock/controllers.py
@@ -10,7 +10,7 @@
 
 from peridotdock import ledger as ledgers
 from peridotdock.clients.endpoint import HttpEndpoints, Order, Report
-from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Row, Transaction, commit_and_resolve
 from peridotdock.context import Context
 from peridotdock.drafts import Move
 from peridotdock.errors import Failure, Kind, failed
@@ -144,7 +144,7 @@
 
     async def _write(self, name: str, ledger: Ledger, checks: dict[str, int]) -> int | Failure:
         tx = Transaction(checks, {ledgers.row_key(name): ledger.to_value()})
-        outcome = await commit_surely(self._platform, tx)
+        outcome = await commit_and_resolve(self._platform, tx)
         return outcome if failed(outcome) else outcome.version
 
     async def _sync(self, record: EngineRecord, accepted: Accepted) -> None:
--- a/peridotdock/dispatch.py
+++ b/peridotdock/dispatch.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 from peridotdock.blocklist import Blocklist
-from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened, read_all
+from peridotdock.clients.endpoint import Call, HttpEndpoints, OpenResponse, read_all
 from peridotdock.context import Context
 from peridotdock.demand import Demand
 from peridotdock.errors import Failure, Kind, failed
@@ -162,7 +162,7 @@
 
     async def _open(
         self, req: ModelRequest, state: EndpointState, caller: CallerConnection
-    ) -> Opened | Failure:
+    ) -> OpenResponse | Failure:
         headers = {
             "content-type": "application/json",
             "x-request-id": req.request_id,
@@ -170,7 +170,7 @@
             "x-priority": str(req.profile.priority),
             "traceparent": req.traceparent,
         }
-        call = Call("POST", req.path, headers, req.body, once=not req.repeatable)
+        call = Call("POST", req.path, headers, req.body, at_most_once=not req.repeatable)
         work = self._endpoints.open(state.url, call)
         outcome = await self._wait_for_answer(work, req.request_id, state, req.deadline, caller)
         if failed(outcome) and outcome.reason == ANSWER_READY:
@@ -179,7 +179,7 @@
 
     async def _fetch_ready(
         self, req: ModelRequest, state: EndpointState, lost: Failure
-    ) -> Opened | Failure:
+    ) -> OpenResponse | Failure:
         """Fetch a finished answer from the engine over a new connection; ``lost`` if that fails."""
         part = "offset=0" if req.stream else "whole=1"
         path = f"/v1/streams/{req.request_id}?{part}&form={req.form}"
@@ -230,7 +230,7 @@
                     continue
                 found = await self._endpoints.probe(state.url, request_id)
                 if failed(found) or found is None or was_done:
-                    self._endpoints.suspect(state.url)
+                    self._endpoints.renew_connections(state.url)
                     ready = was_done and not failed(found) and found is not None
                     return loss_failure(
                         RequestState.SENT, Loss.SILENCE, ANSWER_READY if ready else ""
@@ -243,7 +243,7 @@
                 await asyncio.gather(task, return_exceptions=True)
 
     async def _read_whole(
-        self, req: ModelRequest, choice: Choice, opened: Opened
+        self, req: ModelRequest, choice: Choice, opened: OpenResponse
     ) -> Reply | Failure:
         state = choice.state
         if opened.status >= 500:
--- a/peridotdock/entry.py
+++ b/peridotdock/entry.py
@@ -336,7 +336,7 @@
         proof = self._sign_forward(incarnation, authorization)
         headers |= {"authorization": authorization, FORWARDED_HEADER: proof}
         path = request.url.value.decode("latin-1")
-        call = Call(request.method, path, headers, body, once=True)
+        call = Call(request.method, path, headers, body, at_most_once=True)
         opened = await self._host.endpoints.open(f"http://{member.fact.entry}", call)
         if failed(opened):
             return Failure(Kind.KEY_OWNER_GONE, opened.reason)
--- a/peridotdock/host.py
+++ b/peridotdock/host.py
@@ -140,10 +140,12 @@
         listed = await self.platform.list_hosts()
         if failed(listed):
             return
-        unknown = {h.id: h.peer for h in listed if h.id not in members and h.peer and not h.leaving}
+        unknown = {
+            h.id: h.peer for h in listed if h.id not in members and h.peer and not h.draining
+        }
         unknown.pop(cfg.host_id, None)
         self.mesh.connect_to(unknown)
-        self.watcher.listed_leaving = {h.id for h in listed if h.leaving and h.id not in members}
+        self.watcher.listed_leaving = {h.id for h in listed if h.draining and h.id not in members}
 
     async def _register(self) -> None:
         """Put this host on the platform's list, once for each state, as each is a write."""
--- a/peridotdock/leases.py
+++ b/peridotdock/leases.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Row, Transaction, commit_and_resolve
 from peridotdock.clock import Clock
 from peridotdock.errors import Failure, Kind, failed
 
@@ -51,7 +51,9 @@
             self._version = row.version if row else NO_ROW_VERSION
         key = KEY_PREFIX + self._host
         value = {"incarnation": self._incarnation, "renewed": began}
-        outcome = await commit_surely(platform, Transaction({key: self._version}, {key: value}))
+        outcome = await commit_and_resolve(
+            platform, Transaction({key: self._version}, {key: value})
+        )
         if failed(outcome):
             self._version = None
             return outcome
@@ -65,7 +67,7 @@
         if self._version is None:
             return Failure(Kind.CONFLICT, "no lease")
         key = KEY_PREFIX + self._host
-        outcome = await commit_surely(platform, Transaction({key: self._version}, {key: None}))
+        outcome = await commit_and_resolve(platform, Transaction({key: self._version}, {key: None}))
         self._version = None
         return outcome if failed(outcome) else None
 
--- a/peridotdock/ledger.py
+++ b/peridotdock/ledger.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from peridotdock.clients.endpoint import HeldItem, Report
+from peridotdock.clients.endpoint import LoadedItem, Report
 from peridotdock.errors import Failure, Kind
 
 KEY_PREFIX = "ledger/"
@@ -176,7 +176,7 @@
     return replace(ledger, boot=report.boot, reservations=(*ledger.reservations, *found))
 
 
-def charge(item: str, held: HeldItem) -> Reservation:
+def charge(item: str, held: LoadedItem) -> Reservation:
     """Return the reservation of an item found on the engine without an order."""
     state = State.HELD if held.ready else State.LOADING
     return Reservation(item, state, held.bytes, tuple(held.accelerators), 0)
--- a/peridotdock/output/formats.py
+++ b/peridotdock/output/formats.py
@@ -4,8 +4,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-GAP = "  "
-MAX_CELL = 60
+COLUMN_GAP = "  "
+MAX_CELL_CHARS = 60
 
 
 def format_json(document: Any) -> str:
@@ -20,7 +20,7 @@
     if isinstance(value, bool):
         return "yes" if value else "no"
     text = str(value)
-    return text if len(text) <= MAX_CELL else text[: MAX_CELL - 1] + "…"
+    return text if len(text) <= MAX_CELL_CHARS else text[: MAX_CELL_CHARS - 1] + "…"
 
 
 def format_table(rows: Sequence[dict[str, Any]]) -> str:
@@ -33,7 +33,7 @@
     numeric = [all(is_number(row.get(name)) for row in rows) for name in names]
     lines = [names, *cells]
     return "\n".join(
-        GAP.join(
+        COLUMN_GAP.join(
             cell.rjust(width) if right else cell.ljust(width)
             for cell, width, right in zip(line, widths, numeric, strict=True)
         ).rstrip()
--- a/peridotdock/output/writer.py
+++ b/peridotdock/output/writer.py
@@ -11,15 +11,15 @@
 
     def __init__(self, streams: Streams, form: str):
         self._streams = streams
-        self._human = form == "table" or (form == "auto" and streams.out_is_terminal)
+        self._as_table = form == "table" or (form == "auto" and streams.out_is_terminal)
 
     def rows(self, rows: list[dict[str, Any]]) -> None:
         """Write a list."""
-        self._write(format_table(rows) if self._human else format_json(rows))
+        self._write(format_table(rows) if self._as_table else format_json(rows))
 
     def record(self, record: dict[str, Any]) -> None:
         """Write one thing with its fields."""
-        if not self._human:
+        if not self._as_table:
             self._write(format_json(record))
             return
         flat = [{"field": k, "value": v} for k, v in record.items() if not isinstance(v, list)]
@@ -28,7 +28,7 @@
             if isinstance(rows, list) and rows and isinstance(rows[0], dict):
                 self._write(f"\n{name}:\n{format_table(rows)}")
 
-    def problem(self, text: str) -> None:
+    def write_error(self, text: str) -> None:
         """Write a problem to standard error."""
         self._streams.err.write(f"peridotdock: {text}\n")
 
--- a/peridotdock/planner.py
+++ b/peridotdock/planner.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Row, Transaction, commit_and_resolve
 from peridotdock.context import Context
 from peridotdock.drafts import Copy, EngineView, Move, Plan
 from peridotdock.errors import failed
@@ -79,7 +79,7 @@
             "manifest": manifest,
             "plan": msgspec.to_builtins(plan),
         }
-        outcome = await commit_surely(self._platform, Transaction(checks, {PLAN_KEY: value}))
+        outcome = await commit_and_resolve(self._platform, Transaction(checks, {PLAN_KEY: value}))
         if failed(outcome):
             return
         self.read_row(Row(value, outcome.version))
--- a/peridotdock/platform/documents.py
+++ b/peridotdock/platform/documents.py
@@ -21,11 +21,11 @@
 from peridotdock.workspaces import Quota, Workspace, Workspaces
 
 # Nesting beyond the decoder's depth ends in RecursionError.
-BAD_DOCUMENT = (KeyError, TypeError, ValueError, AttributeError, RecursionError)
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, RecursionError)
 
-KEYS = "api_keys"
+KEYS_FIELD = "api_keys"
 # In place of keys in a configuration that hosts pass on to each other.
-KEY_DIGESTS = "key_digests"
+KEY_DIGESTS_FIELD = "key_digests"
 
 
 def decode_deployment(raw: bytes) -> Deployment | Failure:
@@ -40,7 +40,7 @@
             routes=index_routes(decode_route(row) for row in document["routes"]),
             workspaces=Workspaces(decode_workspace(row) for row in document.get("tenants") or ()),
         )
-    except BAD_DOCUMENT as exc:
+    except DECODE_ERRORS as exc:
         return Failure(Kind.MANIFEST_INVALID, f"configuration: {type(exc).__name__}: {exc}")
 
 
@@ -59,17 +59,20 @@
     try:
         document = msgspec.json.decode(raw)
         for row in document.get("tenants") or ():
-            row[KEY_DIGESTS] = read_keys(row)
-            row.pop(KEYS, None)
+            row[KEY_DIGESTS_FIELD] = read_keys(row)
+            row.pop(KEYS_FIELD, None)
         return msgspec.json.encode(document)
-    except BAD_DOCUMENT:
+    except DECODE_ERRORS:
         # No host can take it in, so what it holds is of no use to any.
         return b""
 
 
 def read_keys(raw: Mapping[str, Any]) -> list[str]:
     """Return the digests of a workspace's keys."""
-    return [*raw.get(KEY_DIGESTS, ()), *(digest_key(str(key)) for key in raw.get(KEYS) or ())]
+    return [
+        *raw.get(KEY_DIGESTS_FIELD, ()),
+        *(digest_key(str(key)) for key in raw.get(KEYS_FIELD) or ()),
+    ]
 
 
 def decode_workspace(raw: Mapping[str, Any]) -> tuple[Workspace, list[str]]:
@@ -110,12 +113,12 @@
         max_sends=int(raw.get("max_attempts") or 1),
         resumable=streams and bool(raw.get("resumable")),
         longest_pause=pause,
-        stall_timeout=caller_patience(target, pause) if streams else timeout,
+        stall_timeout=compute_stall_timeout(target, pause) if streams else timeout,
         public=bool(raw.get("public")),
     )
 
 
-def caller_patience(target: float, pause: float) -> float:
+def compute_stall_timeout(target: float, pause: float) -> float:
     """Return the seconds after which callers leave a stream that gives no event."""
     return max(2.0, 4 * target, 8 * pause)
 
--- a/peridotdock/platform/endpoints.py
+++ b/peridotdock/platform/endpoints.py
@@ -16,11 +16,11 @@
 
 # ValueError is that of an address and, as its subclass, that of a field's type; deep nesting ends
 # in RecursionError.
-BAD_ROW = (ValueError, RecursionError)
-Count = Annotated[int, msgspec.Meta(ge=0)]
+ROW_ERRORS = (ValueError, RecursionError)
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class HeldRow(msgspec.Struct):
+class LoadedModelRow(msgspec.Struct):
     """A model that an endpoint holds; adapters are NAME or NAME@VERSION."""
 
     name: str
@@ -28,7 +28,7 @@
     adapters: list[str] | None = None
 
 
-class AtHandRow(msgspec.Struct):
+class CachedWeightsRow(msgspec.Struct):
     """Models whose weights an endpoint has in its memory or on its disk."""
 
     in_memory: list[str] | None = None
@@ -46,9 +46,9 @@
     state: Literal["ready", "draining"]
     cold_remaining_ms: float
     seq: int
-    born: Count = 0
-    models: list[HeldRow] | None = None
-    at_hand: AtHandRow | None = None
+    born: NonNegativeInt = 0
+    models: list[LoadedModelRow] | None = None
+    at_hand: CachedWeightsRow | None = None
 
 
 class ReportRow(msgspec.Struct):
@@ -57,36 +57,36 @@
     ``coming`` are adapters on their way, as MODEL/NAME@VERSION.
     """
 
-    seq: Count
+    seq: NonNegativeInt
     busy: bool
-    models: list[HeldRow]
-    born: Count = 0
+    models: list[LoadedModelRow]
+    born: NonNegativeInt = 0
     coming: list[str] | None = None
-    at_hand: AtHandRow | None = None
+    at_hand: CachedWeightsRow | None = None
 
 
 ENTRY = msgspec.json.Decoder(EntryRow)
 REPORT = msgspec.json.Decoder(ReportRow)
 
 
-def decode_endpoint(incarnation: str, raw: bytes) -> EndpointEntry | Failure:
+def decode_endpoint(endpoint_id: str, raw: bytes) -> EndpointEntry | Failure:
     """Read the row in which an endpoint registered itself; the row's key is its id."""
     try:
         row = ENTRY.decode(raw)
         parse_address(row.address)
-    except BAD_ROW as exc:
-        return Failure(Kind.BAD_REQUEST, f"entry {incarnation}: {type(exc).__name__}: {exc}")
-    at_hand = row.at_hand or AtHandRow()
+    except ROW_ERRORS as exc:
+        return Failure(Kind.BAD_REQUEST, f"entry {endpoint_id}: {type(exc).__name__}: {exc}")
+    cached = row.at_hand or CachedWeightsRow()
     return EndpointEntry(
-        endpoint_id=incarnation,
+        endpoint_id=endpoint_id,
         service=row.service,
         address=row.address,
         domain=row.zone,
         slots=row.slots,
         draining=row.state != "ready",
-        models=read_held(row.models),
-        in_memory=frozenset(at_hand.in_memory or ()),
-        on_disk=frozenset(at_hand.on_disk or ()),
+        models=read_loaded_models(row.models),
+        in_memory=frozenset(cached.in_memory or ()),
+        on_disk=frozenset(cached.on_disk or ()),
         started_ms=row.born,
     )
 
@@ -95,28 +95,28 @@
     """Read an engine's report."""
     try:
         row = REPORT.decode(raw)
-    except BAD_ROW as exc:
+    except ROW_ERRORS as exc:
         return Failure(Kind.ENDPOINT_ERROR, f"report: {type(exc).__name__}: {exc}")
-    at_hand = row.at_hand or AtHandRow()
+    cached = row.at_hand or CachedWeightsRow()
     return EngineState(
         seq=row.seq,
         busy=row.busy,
-        models=read_held(row.models),
-        coming=frozenset(without_version(name) for name in row.coming or ()),
-        in_memory=frozenset(at_hand.in_memory or ()),
-        on_disk=frozenset(at_hand.on_disk or ()),
-        born=row.born,
+        models=read_loaded_models(row.models),
+        pending_adapters=frozenset(strip_version(name) for name in row.coming or ()),
+        in_memory=frozenset(cached.in_memory or ()),
+        on_disk=frozenset(cached.on_disk or ()),
+        started_ms=row.born,
     )
 
 
-def read_held(rows: list[HeldRow] | None) -> dict[str, LoadedModel]:
+def read_loaded_models(rows: list[LoadedModelRow] | None) -> dict[str, LoadedModel]:
     """Return the models that an endpoint holds, by name."""
     return {
-        row.name: LoadedModel(row.version, frozenset(map(without_version, row.adapters or ())))
+        row.name: LoadedModel(row.version, frozenset(map(strip_version, row.adapters or ())))
         for row in rows or ()
     }
 
 
-def without_version(name: str) -> str:
+def strip_version(name: str) -> str:
     """Return an adapter's name without the version that may stand behind it."""
     return name.partition("@")[0]
--- a/peridotdock/platform/engines.py
+++ b/peridotdock/platform/engines.py
@@ -4,19 +4,19 @@
 from peridotdock.clients.engines import EngineOrder, EngineState, OrderAnswer
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.platform.endpoints import decode_report
-from peridotdock.platform.wire import TARGET
+from peridotdock.platform.wire import TARGET_HEADER
 from peridotdock.relay.requests import EndpointEntry
 
 ORDER_PATH = "/v1/order"
 REPORT_PATH = "/v1/report"
 # Seconds for either call: both are answered within some milliseconds, or not at all.
-CALL_SECONDS = 0.35
-ANSWERS = {
+CALL_TIMEOUT_SECONDS = 0.35
+ORDER_ANSWERS = {
     200: OrderAnswer.HOLDS_ALREADY,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.BUSY,
     412: OrderAnswer.FENCED,
-    421: OrderAnswer.ANOTHER,
+    421: OrderAnswer.WRONG_ENGINE,
     400: OrderAnswer.REFUSED,
 }
 
@@ -41,20 +41,20 @@
         }
         if order.adapter:
             body["adapter"] = order.adapter
-        headers = {TARGET: entry.endpoint_id, "content-type": "application/json"}
+        headers = {TARGET_HEADER: entry.endpoint_id, "content-type": "application/json"}
         outcome = await self._endpoints.control_call(
-            "POST", f"http://{entry.address}", ORDER_PATH, CALL_SECONDS, body, headers
+            "POST", f"http://{entry.address}", ORDER_PATH, CALL_TIMEOUT_SECONDS, body, headers
         )
         if failed(outcome):
             return outcome
-        found = ANSWERS.get(outcome[0])
+        found = ORDER_ANSWERS.get(outcome[0])
         return found or Failure(Kind.ENDPOINT_ERROR, f"status {outcome[0]}")
 
     async def report(self, entry: EndpointEntry) -> EngineState | Failure:
         """Read a report."""
-        headers = {TARGET: entry.endpoint_id}
+        headers = {TARGET_HEADER: entry.endpoint_id}
         outcome = await self._endpoints.control_call(
-            "GET", f"http://{entry.address}", REPORT_PATH, CALL_SECONDS, None, headers
+            "GET", f"http://{entry.address}", REPORT_PATH, CALL_TIMEOUT_SECONDS, None, headers
         )
         if failed(outcome):
             return outcome
--- a/peridotdock/platform/store.py
+++ b/peridotdock/platform/store.py
@@ -10,7 +10,7 @@
 import aiohttp
 import msgspec
 
-from peridotdock.clients.http import BROKEN, UNREACHABLE, Pool
+from peridotdock.clients.http import TRANSFER_ERRORS, CONNECT_ERRORS, Pool
 from peridotdock.clients.platform import Committed, ListedHost, Row, Transaction
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.clients.tables import TableChanges, TableView
@@ -25,8 +25,8 @@
 CONFIG_KEY = "config"
 ENDPOINT_TABLE = "servers"
 # Seconds for a call that the store does not hold back; it takes some milliseconds on a good day.
-CALL_SECONDS = 1.5
-DROPPED = "tombstone"
+CALL_TIMEOUT_SECONDS = 1.5
+TOMBSTONE_FIELD = "tombstone"
 READ_ERRORS = (LookupError, AttributeError, TypeError, ValueError, msgspec.DecodeError)
 COMMIT_KINDS = {412: Kind.CONFLICT, 429: Kind.PLATFORM_DOWN, 503: Kind.PLATFORM_DOWN}
 
@@ -44,14 +44,18 @@
         """Close the connections."""
         await self._pool.close()
 
-    def suspect(self) -> None:
+    def renew_connections(self) -> None:
         """Take no kept connection again: a call on one of them may never be answered."""
         self._pool.renew()
 
     async def _call(
-        self, method: str, path: str, body: bytes | None = None, seconds: float = CALL_SECONDS
+        self,
+        method: str,
+        path: str,
+        body: bytes | None = None,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> tuple[int, bytes] | Failure:
-        limit = aiohttp.ClientTimeout(total=seconds, sock_connect=CALL_SECONDS)
+        limit = aiohttp.ClientTimeout(total=seconds, sock_connect=CALL_TIMEOUT_SECONDS)
         headers = {"content-type": "application/json"} if body is not None else None
         call = path.partition("?")[0].split("/")[2]
         try:
@@ -62,10 +66,10 @@
                 ) as resp,
             ):
                 raw = await resp.read()
-        except UNREACHABLE as exc:
+        except CONNECT_ERRORS as exc:
             self._metrics.platform.labels(call, "unreachable").inc()
             return Failure(Kind.PLATFORM_DOWN, type(exc).__name__)
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             if isinstance(exc, asyncio.TimeoutError):
                 # The connection may have gone silent for good; the next call takes a new one.
                 self._pool.renew()
@@ -74,7 +78,7 @@
         self._metrics.platform.labels(call, str(resp.status)).inc()
         return resp.status, raw
 
-    async def _fetch(self, path: str, seconds: float = CALL_SECONDS) -> Any | Failure:
+    async def _fetch(self, path: str, seconds: float = CALL_TIMEOUT_SECONDS) -> Any | Failure:
         """Return the decoded body of a read; a read that was lost is simply not done."""
         outcome = await self._call("GET", path, seconds=seconds)
         if failed(outcome):
@@ -89,13 +93,13 @@
         except msgspec.DecodeError as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad body: {exc}")
 
-    def _note_time(self, found: Mapping[str, Any], asked_at: float) -> None:
+    def _record_time(self, found: Mapping[str, Any], sent_at: float) -> None:
         """Take in the store's time from an answer that it did not hold back."""
-        told = found.get("now_ms")
-        if isinstance(told, int):
-            self._time.note(told / 1000, asked_at)
+        now_ms = found.get("now_ms")
+        if isinstance(now_ms, int):
+            self._time.record(now_ms / 1000, sent_at)
 
-    async def _pages(
+    async def _read_pages(
         self, table: str, start: str = "", end: str = ""
     ) -> tuple[list[dict[str, Any]], int] | Failure:
         """Read a range of keys, page by page; the version is that of the first page.
@@ -109,12 +113,12 @@
             query = {"table": table, "part": ""}
             query |= {"from": start} if start else {}
             query |= {"to": end} if end else {}
-            asked_at = self._time.clock()
+            sent_at = self._time.clock()
             page = await self._fetch("/v1/rows-get?" + urlencode(query))
             if failed(page):
                 return page
             try:
-                self._note_time(page, asked_at)
+                self._record_time(page, sent_at)
                 rows += page["rows"]
                 version = int(page["ver"]) if version is None else version
                 if not page.get("has_more"):
@@ -125,26 +129,27 @@
 
     async def read_table(self, table: str) -> TableView | Failure:
         """Read a whole table."""
-        found = await self._pages(table)
+        found = await self._read_pages(table)
         if failed(found):
             return found
         rows, version = found
         try:
-            return TableView({row["key"]: read_value(row) for row in rows}, version)
+            return TableView({row["key"]: decode_value(row) for row in rows}, version)
         except READ_ERRORS as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad row: {exc!r}")
 
     async def follow(
-        self, table: str, after: int, hold: float, answer: float
+        self, table: str, after: int, hold_seconds: float, answer_seconds: float
     ) -> TableChanges | Failure:
         """Wait for changes of a table after a version."""
-        query = urlencode({"table": table, "after": after, "wait_ms": int(hold * 1000)})
-        found = await self._fetch("/v1/rows-feed?" + query, hold + answer)
+        query = urlencode({"table": table, "after": after, "wait_ms": int(hold_seconds * 1000)})
+        found = await self._fetch("/v1/rows-feed?" + query, hold_seconds + answer_seconds)
         if failed(found):
             return found
         try:
             values = {
-                row["key"]: None if row.get(DROPPED) else read_value(row) for row in found["rows"]
+                row["key"]: None if row.get(TOMBSTONE_FIELD) else decode_value(row)
+                for row in found["rows"]
             }
             return TableChanges(values, int(found["ver"]))
         except READ_ERRORS as exc:
@@ -165,14 +170,14 @@
         return await self._own_rows(prefix, prefix + "\x7f")
 
     async def _own_rows(self, start: str, end: str) -> dict[str, Row] | Failure:
-        found = await self._pages(OWN_TABLE, start, end)
+        found = await self._read_pages(OWN_TABLE, start, end)
         if failed(found):
             return found
         try:
             return {
                 row["key"]: Row(value, int(row["ver"]))
                 for row in found[0]
-                if (value := read_own(row)) is not None
+                if (value := decode_own_row(row)) is not None
             }
         except READ_ERRORS as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad row: {exc!r}")
@@ -181,21 +186,21 @@
         """Send the transaction once."""
         writes = {key: value for key, value in tx.writes.items() if value is not None}
         body = {
-            "expected": [own_row(key) | {"ver": ver} for key, ver in tx.checks.items()],
+            "expected": [own_row_key(key) | {"ver": ver} for key, ver in tx.checks.items()],
             "set_keys": [
-                own_row(key) | {"value": encode_value(value, tx.id)}
+                own_row_key(key) | {"value": encode_value(value, tx.id)}
                 for key, value in writes.items()
             ],
-            "remove": [own_row(key) for key in tx.writes if key not in writes],
+            "remove": [own_row_key(key) for key in tx.writes if key not in writes],
         }
-        asked_at = self._time.clock()
+        sent_at = self._time.clock()
         outcome = await self._call("POST", "/v1/rows-tx", json.dumps(body).encode())
         if failed(outcome):
             return outcome
         status, raw = outcome
         if status == 200:
             found = msgspec.json.decode(raw)
-            self._note_time(found, asked_at)
+            self._record_time(found, sent_at)
             return Committed(int(found["ver"]))
         return Failure(COMMIT_KINDS.get(status, Kind.OUTCOME_UNKNOWN), f"status {status}")
 
@@ -226,9 +231,9 @@
             if "peer" in row.value and "leaving" in row.value
         ]
 
-    async def register_host(self, host: str, peer: str, leaving: bool) -> Failure | None:
+    async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
         """Write this host's row, whatever it says now: only this host writes it."""
-        value = {"peer": peer, "leaving": leaving}
+        value = {"peer": peer, "leaving": draining}
         outcome = await self.commit(Transaction({}, {HOST_PREFIX + host: value}))
         return outcome if failed(outcome) else None
 
@@ -236,7 +241,7 @@
 HOST_PREFIX = "host/"
 
 
-def read_value(row: Mapping[str, Any]) -> bytes:
+def decode_value(row: Mapping[str, Any]) -> bytes:
     """Return a row's bytes; of a value that can't be read, none.
 
     Failure guarded against: one row of another writer is no base64, and each call that gives it
@@ -249,16 +254,16 @@
         return b""
 
 
-def read_own(row: Mapping[str, Any]) -> dict[str, Any] | None:
+def decode_own_row(row: Mapping[str, Any]) -> dict[str, Any] | None:
     """Return what one of the product's rows says, None when it can't be read."""
     try:
-        value = json.loads(read_value(row))
+        value = json.loads(decode_value(row))
     except (ValueError, RecursionError):
         return None
     return value if isinstance(value, dict) else None
 
 
-def own_row(key: str) -> dict[str, Any]:
+def own_row_key(key: str) -> dict[str, Any]:
     """Return the address of one of the product's rows."""
     return {"table": OWN_TABLE, "part": "", "key": key}
 
--- a/peridotdock/platform/wire.py
+++ b/peridotdock/platform/wire.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from peridotdock.clients.http import read_rest
+from peridotdock.clients.http import read_retry_after
 from peridotdock.credentials import NO_KEY, read_bearer
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.requests import (
@@ -15,31 +15,31 @@
     SendOptions,
 )
 
-ATTEMPT = "x-attempt-id"
-DEADLINE = "x-deadline-ms"
-RESUME = "last-event-id"
-MODEL = "x-model"
+ATTEMPT_HEADER = "x-attempt-id"
+DEADLINE_HEADER = "x-deadline-ms"
+RESUME_HEADER = "last-event-id"
+MODEL_HEADER = "x-model"
 # "PROMPT,OUTPUT": the tokens of the prompt and the most that may be generated.
-TOKENS = "x-token-counts"
-PARTS = "x-prompt-prefix"
-PRIORITY = "x-request-priority"
+TOKENS_HEADER = "x-token-counts"
+PARTS_HEADER = "x-prompt-prefix"
+PRIORITY_HEADER = "x-request-priority"
 # Names an endpoint's incarnation: any other that has its address now refuses.
-TARGET = "x-target-instance"
+TARGET_HEADER = "x-target-instance"
 # Whatever its value, it says that the endpoint has not run the request.
-NOT_RUN = "x-not-executed"
+NOT_RUN_HEADER = "x-not-executed"
 # The endpoint's proof that an answer is its own.
-RECEIPT = "x-response-signature"
-RETRY_AFTER = "retry-after"
+SIGNATURE_HEADER = "x-response-signature"
+RETRY_AFTER_HEADER = "retry-after"
 # The requests a second that an endpoint takes from all hosts together, a decimal number; an answer
 # without it says that there is no such limit now.
-RATE_LIMIT = "server-limit"
+RATE_LIMIT_HEADER = "server-limit"
 # "1" in all answers of an endpoint that leaves.
-LEAVING = "server-leaving"
-LEAVES = "1"
+DRAINING_HEADER = "server-leaving"
+DRAINING_VALUE = "1"
 # "Bearer KEY": the key of a caller's workspace, which endpoints never see.
-KEY = "authorization"
+KEY_HEADER = "authorization"
 # The name of the workspace, which only a host may say.
-WORKSPACE = "x-tenant"
+WORKSPACE_HEADER = "x-tenant"
 
 HOP_BY_HOP = frozenset(
     {
@@ -58,7 +58,7 @@
     }
 )
 # Headers with which a host steers an engine: a caller that sends them must not reach it.
-STEERING = frozenset(
+ENGINE_CONTROL_HEADERS = frozenset(
     {
         "x-hold",
         "x-pin-ms",
@@ -66,17 +66,17 @@
         "kv-from",
         "kv-fetch",
         "x-expect-version",
-        PRIORITY,
-        TARGET,
+        PRIORITY_HEADER,
+        TARGET_HEADER,
     }
 )
 # With which a caller says who it is.
-IDENTITY = frozenset({KEY, WORKSPACE})
+IDENTITY_HEADERS = frozenset({KEY_HEADER, WORKSPACE_HEADER})
 # Written anew for each send.
-OURS = frozenset({DEADLINE, RESUME})
+REWRITTEN_HEADERS = frozenset({DEADLINE_HEADER, RESUME_HEADER})
 # Of an endpoint's answer, those that the server towards the caller writes itself, and the time
 # after which that endpoint takes requests again: another may take one at once.
-SERVER_HEADERS = HOP_BY_HOP | {"date", "server", RETRY_AFTER}
+SERVER_HEADERS = HOP_BY_HOP | {"date", "server", RETRY_AFTER_HEADER}
 MISDIRECTED = 421
 UNAVAILABLE = 503
 
@@ -88,21 +88,27 @@
         """Decode the head of a caller's request."""
         rows = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in headers]
         named = dict(rows)
-        listed = named.get("connection", "").lower().split(",")
-        dropped = HOP_BY_HOP | STEERING | OURS | IDENTITY | {name.strip() for name in listed}
-        if not named.get(ATTEMPT):
-            return Failure(Kind.BAD_REQUEST, f"{ATTEMPT} is missing")
+        connection_names = named.get("connection", "").lower().split(",")
+        dropped = (
+            HOP_BY_HOP
+            | ENGINE_CONTROL_HEADERS
+            | REWRITTEN_HEADERS
+            | IDENTITY_HEADERS
+            | {name.strip() for name in connection_names}
+        )
+        if not named.get(ATTEMPT_HEADER):
+            return Failure(Kind.BAD_REQUEST, f"{ATTEMPT_HEADER} is missing")
         try:
             return RequestHead(
-                attempt_id=named[ATTEMPT],
+                attempt_id=named[ATTEMPT_HEADER],
                 host=named.get("host", "").partition(":")[0].lower(),
-                seconds=read_milliseconds(named.get(DEADLINE)),
-                resume_after=named.get(RESUME, ""),
-                inference=read_wish(named),
+                seconds=read_deadline(named.get(DEADLINE_HEADER)),
+                resume_after=named.get(RESUME_HEADER, ""),
+                inference=read_inference(named),
                 headers=tuple((name, value) for name, value in rows if name not in dropped),
-                identity_headers=tuple(row for row in rows if row[0] in IDENTITY),
+                identity_headers=tuple(row for row in rows if row[0] in IDENTITY_HEADERS),
                 key=read_key(rows),
-                tokens=count_tokens(named.get(TOKENS, "")),
+                tokens=count_tokens(named.get(TOKENS_HEADER, "")),
             )
         except ValueError as exc:
             return Failure(Kind.BAD_REQUEST, str(exc))
@@ -111,14 +117,14 @@
         """Return the headers of one send; the host name goes on as the caller sent it."""
         headers = dict(req.head.headers + req.identity.headers)
         if req.identity.workspace is not None:
-            headers[WORKSPACE] = req.identity.workspace.name
+            headers[WORKSPACE_HEADER] = req.identity.workspace.name
         headers["host"] = req.head.host
-        headers[TARGET] = options.endpoint_id
-        headers[DEADLINE] = str(max(1, int(options.seconds * 1000)))
+        headers[TARGET_HEADER] = options.endpoint_id
+        headers[DEADLINE_HEADER] = str(max(1, int(options.seconds * 1000)))
         if req.head.inference is not None:
-            headers[PRIORITY] = str(options.priority)
+            headers[PRIORITY_HEADER] = str(options.priority)
         if options.resume_after:
-            headers[RESUME] = options.resume_after
+            headers[RESUME_HEADER] = options.resume_after
         return headers
 
     def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
@@ -126,14 +132,14 @@
         rows = [(name.lower(), value) for name, value in headers.items()]
         return AnswerHead(
             status=status,
-            attempt_id=headers.get(ATTEMPT, ""),
-            not_run=status == MISDIRECTED or NOT_RUN in headers,
+            attempt_id=headers.get(ATTEMPT_HEADER, ""),
+            not_run=status == MISDIRECTED or NOT_RUN_HEADER in headers,
             misdirected=status == MISDIRECTED,
-            receipt=headers.get(RECEIPT, ""),
+            receipt=headers.get(SIGNATURE_HEADER, ""),
             content_type=headers.get("content-type", "application/octet-stream"),
-            rate_limit=read_rate(headers.get(RATE_LIMIT)),
-            draining=headers.get(LEAVING, "").strip() == LEAVES,
-            backoff=read_rest(headers) if status == UNAVAILABLE else 0.0,
+            rate_limit=read_rate(headers.get(RATE_LIMIT_HEADER)),
+            draining=headers.get(DRAINING_HEADER, "").strip() == DRAINING_VALUE,
+            backoff=read_retry_after(headers) if status == UNAVAILABLE else 0.0,
             headers=tuple(
                 row for row in rows if row[0] not in SERVER_HEADERS and row[0] != "content-type"
             ),
@@ -143,15 +149,15 @@
         self, attempt_id: str, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of an answer of our own; fractions of a second are understood."""
-        headers = [(ATTEMPT.encode(), attempt_id.encode("latin-1"))] if attempt_id else []
+        headers = [(ATTEMPT_HEADER.encode(), attempt_id.encode("latin-1"))] if attempt_id else []
         if retry_after is not None:
-            headers.append((RETRY_AFTER.encode(), f"{retry_after:.3f}".encode()))
+            headers.append((RETRY_AFTER_HEADER.encode(), f"{retry_after:.3f}".encode()))
         return headers
 
 
 def read_key(rows: Iterable[tuple[str, str]]) -> str:
     """Return the digest of the key; several such headers name nobody."""
-    found = [value for name, value in rows if name == KEY]
+    found = [value for name, value in rows if name == KEY_HEADER]
     return read_bearer(found[0]) if len(found) == 1 else NO_KEY
 
 
@@ -175,28 +181,30 @@
     return rate if 0 <= rate < math.inf else None
 
 
-def read_milliseconds(text: str | None) -> float | None:
+def read_deadline(text: str | None) -> float | None:
     """Return seconds, or None where there is no value; raises ValueError for a bad one."""
     if text is None:
         return None
     value = float(text) / 1000
     if not 0 <= value < 1e6:
-        raise ValueError(f"{DEADLINE}: {text!r} is out of range")
+        raise ValueError(f"{DEADLINE_HEADER}: {text!r} is out of range")
     return value
 
 
-def read_wish(named: Mapping[str, str]) -> InferenceSpec | None:
+def read_inference(named: Mapping[str, str]) -> InferenceSpec | None:
     """Return the model work asked for; raises ValueError when a header can't be read."""
-    if MODEL not in named:
+    if MODEL_HEADER not in named:
         return None
-    model, _, adapter = named[MODEL].partition("/")
-    prompt, _, output = named.get(TOKENS, "0,0").partition(",")
+    model, _, adapter = named[MODEL_HEADER].partition("/")
+    prompt, _, output = named.get(TOKENS_HEADER, "0,0").partition(",")
     return InferenceSpec(
         model=model,
         adapter=adapter,
         prompt_tokens=int(prompt),
         output_tokens=int(output or 0),
-        parts=tuple(read_part(text) for text in named.get(PARTS, "").split(",") if text.strip()),
+        parts=tuple(
+            read_part(text) for text in named.get(PARTS_HEADER, "").split(",") if text.strip()
+        ),
     )
 
 
@@ -204,5 +212,5 @@
     """Read ID:TOKENS; raises ValueError for anything else."""
     name, colon, tokens = text.strip().rpartition(":")
     if not colon:
-        raise ValueError(f"{PARTS}: {text!r} is not ID:TOKENS")
+        raise ValueError(f"{PARTS_HEADER}: {text!r} is not ID:TOKENS")
     return PromptPart(name, int(tokens))
--- a/peridotdock/publishing.py
+++ b/peridotdock/publishing.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from peridotdock import manifest as manifests
-from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Row, Transaction, commit_and_resolve
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.manifest import Accepted, CheckResult
 from peridotdock.placement import find_floor_errors
@@ -117,7 +117,7 @@
         "previous": row.value["digest"] if row else "",
     }
     tx = Transaction({HEAD_KEY: row.version if row else 0}, {HEAD_KEY: head})
-    outcome = await commit_surely(platform, tx)
+    outcome = await commit_and_resolve(platform, tx)
     if not failed(outcome):
         return Published(generation, digest, changed=True)
     if outcome.kind is Kind.CONFLICT:
--- a/peridotdock/relay/attempt.py
+++ b/peridotdock/relay/attempt.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from peridotdock.clients.endpoint import Opened
-from peridotdock.clients.http import BROKEN
+from peridotdock.clients.endpoint import OpenResponse
+from peridotdock.clients.http import TRANSFER_ERRORS
 from peridotdock.errors import Failure, Kind
 from peridotdock.relay.caller import CallerConnection
 from peridotdock.relay.endpoint import EndpointState
@@ -106,7 +106,7 @@
 
     state: EndpointState
     head: AnswerHead
-    opened: Opened
+    opened: OpenResponse
     splitter: EventSplitter = field(default_factory=EventSplitter)
     ready: list[StreamEvent] = field(default_factory=list)
     ended: bool = False
@@ -133,10 +133,10 @@
         self._stall_timeout.begin(seconds, extra_seconds)
         try:
             while not self.ready and not self.ended:
-                part = await self.opened.read_some()
+                part = await self.opened.read_chunk()
                 self.ready += self.splitter.feed(part)
                 self.ended = not part
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             if caller.is_disconnected():
                 return loss_failure(RequestState.FIRST_BYTE, Loss.CALLER_GONE)
             if self._stall_timeout.expired:
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -178,7 +178,7 @@
         requests go to endpoints that have left, by a configuration that is not in force any more.
         """
         if self._call_in_flight:
-            self._tables.suspect()
+            self._tables.renew_connections()
         self._interrupt()
 
     # What the host that reads for all says
--- a/peridotdock/relay/host.py
+++ b/peridotdock/relay/host.py
@@ -143,7 +143,7 @@
         lease = settings.bounds.order_lease
         machine = str(settings.listen.peers)
         self.leadership = Leadership(
-            ctx, self.store, lease, uptime, machine, self.store.suspect, store_time
+            ctx, self.store, lease, uptime, machine, self.store.renew_connections, store_time
         )
         self.blocklist_due = asyncio.Event()
         self.blocklist.on_blocked = self.blocklist_due.set
@@ -392,7 +392,7 @@
 
     def _drop_connections(self, address: str) -> None:
         """Take no kept connection to an endpoint's address again."""
-        self.endpoints.suspect(f"http://{address}")
+        self.endpoints.renew_connections(f"http://{address}")
 
     # Stopping
 
--- a/peridotdock/relay/leadership.py
+++ b/peridotdock/relay/leadership.py
@@ -12,7 +12,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import TypeVar
 
-from peridotdock.clients.platform import Platform, Row, Transaction, commit_surely
+from peridotdock.clients.platform import Platform, Row, Transaction, commit_and_resolve
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
@@ -281,7 +281,7 @@
             "inherited": asdict(self.inherited_handover()),
         }
         tx = Transaction({LEASE_KEY: version}, {LEASE_KEY: value})
-        outcome = await commit_surely(self._store, tx)
+        outcome = await commit_and_resolve(self._store, tx)
         return outcome if failed(outcome) else outcome.version
 
     async def release(self) -> None:
--- a/peridotdock/relay/ordering.py
+++ b/peridotdock/relay/ordering.py
@@ -47,7 +47,7 @@
 HOST_FACTS_SECONDS = 1.0
 # Answers that say that an order is not carried out, now or later.
 REJECTED = frozenset(
-    {OrderAnswer.BUSY, OrderAnswer.REFUSED, OrderAnswer.FENCED, OrderAnswer.ANOTHER}
+    {OrderAnswer.BUSY, OrderAnswer.REFUSED, OrderAnswer.FENCED, OrderAnswer.WRONG_ENGINE}
 )
 
 
@@ -327,9 +327,9 @@
         An engine that can't reach the store shows a new start in its report alone.
         """
         key = record.entry.endpoint_id
-        if not 0 < record.started_ms < report.born or self.records.get(key) is not record:
+        if not 0 < record.started_ms < report.started_ms or self.records.get(key) is not record:
             return record
-        return self._new_record(record.entry, report.born)
+        return self._new_record(record.entry, report.started_ms)
 
     async def _execute(
         self, record: EngineRecord, service: Service, spec: EngineSpec, step: Step
--- a/peridotdock/relay/records.py
+++ b/peridotdock/relay/records.py
@@ -104,7 +104,7 @@
         the report is right: an engine that says it carries an order out may not count it again.
         A report of another start tells nothing of this one.
         """
-        if report.born != self.started_ms and report.born and self.started_ms:
+        if report.started_ms != self.started_ms and report.started_ms and self.started_ms:
             return
         if report.seq < self.seq and now - self.ordered_at < REPORT_LAG_SECONDS:
             return
@@ -115,7 +115,7 @@
         self.models = {name: set(m.adapters) for name, m in report.models.items()}
         there = {f"{name}/{adapter}" for name, m in self.models.items() for adapter in m}
         self.freeing &= there
-        for item in report.coming:
+        for item in report.pending_adapters:
             model, _, adapter = item.partition("/")
             self.models.setdefault(model, set()).add(adapter)
         if report.busy:
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any, Self, TypeVar
 
-from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened, read_all
+from peridotdock.clients.endpoint import Call, HttpEndpoints, OpenResponse, read_all
 from peridotdock.clock import Clock
 from peridotdock.decisions.overload import connect_timeout
 from peridotdock.errors import Failure, Kind, failed
@@ -32,7 +32,7 @@
     """An answer whose head has come."""
 
     state: EndpointState
-    opened: Opened
+    opened: OpenResponse
     head: AnswerHead
 
 
@@ -108,9 +108,9 @@
             req.target,
             self._wire.write_send(req, options),
             req.body,
-            once=True,
-            connect=connect_timeout(remaining),
-            wanted=state.accepts_requests,
+            at_most_once=True,
+            connect_timeout=connect_timeout(remaining),
+            still_wanted=state.accepts_requests,
         )
         sent_at = self._clock.monotonic()
         work = self._endpoints.open(f"http://{state.entry.address}", call)
@@ -130,7 +130,7 @@
                 # Another answer may follow where the next request's is expected, and an answer that
                 # was read to its end has given its connection back already.
                 opened.abort()
-                self._endpoints.suspect(f"http://{state.entry.address}")
+                self._endpoints.renew_connections(f"http://{state.entry.address}")
             await opened.release()
             return failure
         return PendingAnswer(state, opened, head)
--- a/peridotdock/service_calls.py
+++ b/peridotdock/service_calls.py
@@ -108,7 +108,7 @@
     ) -> Reply | Failure:
         headers = {k: v for k, v in req.headers.items() if k.lower() not in HOP_HEADERS}
         headers["x-request-id"] = req.request_id
-        call = Call(req.method, req.path, headers, req.body, once=not req.repeatable)
+        call = Call(req.method, req.path, headers, req.body, at_most_once=not req.repeatable)
         state.note_sent(req.request_id, self._ctx.clock.monotonic(), 0)
         whole = False
         try:
--- a/peridotdock/streams.py
+++ b/peridotdock/streams.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened
-from peridotdock.clients.http import BROKEN
+from peridotdock.clients.endpoint import Call, HttpEndpoints, OpenResponse
+from peridotdock.clients.http import TRANSFER_ERRORS
 from peridotdock.context import Context
 from peridotdock.errors import Failure, Kind, failed
 from peridotdock.fleet import EndpointState
@@ -89,14 +89,14 @@
         self._state = state
         self._req = req
         self._caller = caller
-        self._opened: Opened | None = None
+        self._opened: OpenResponse | None = None
         self._buffer = b""
         self._next_offset = 0
         self._resumes = 0
         self.usage: FrameUsage | None = None
         self.whole = False
 
-    def attach(self, opened: Opened) -> None:
+    def attach(self, opened: OpenResponse) -> None:
         """Continue to read from ``opened``."""
         self._opened = opened
         self._buffer = b""
@@ -162,7 +162,7 @@
                 part = await self._read()
             except StreamSilent:
                 return Failure(Kind.ANSWER_CUT, Loss.SILENCE)
-            except BROKEN as exc:
+            except TRANSFER_ERRORS as exc:
                 return Failure(Kind.ANSWER_CUT, type(exc).__name__)
             if failed(part):
                 return part
@@ -187,7 +187,7 @@
             wait = min(CHECK_INTERVAL_SECONDS, silence_deadline - now, self._req.deadline - now)
             try:
                 async with asyncio.timeout(wait):
-                    return await self._opened.read_some()
+                    return await self._opened.read_chunk()
             except TimeoutError:
                 continue
 
@@ -211,7 +211,7 @@
 
     async def _resume(self, silent: bool) -> Failure | None:
         if silent:
-            self._endpoints.suspect(self._state.url)
+            self._endpoints.renew_connections(self._state.url)
         if self._opened is not None:
             await self._opened.release()
         query = f"?offset={self._next_offset}&form={self._req.form}"
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -5,7 +5,7 @@
 import itertools
 from datetime import UTC, datetime, timedelta
 
-from peridotdock.clients.endpoint import EngineLoad, HeldItem, Report
+from peridotdock.clients.endpoint import EngineLoad, LoadedItem, Report
 from peridotdock.clients.platform import Committed, Row
 from peridotdock.errors import Failure, Kind
 from peridotdock.ledger import KEY_PREFIX
@@ -105,7 +105,7 @@
     async def list_hosts(self):
         return Failure(Kind.PLATFORM_DOWN) if self.down else []
 
-    async def register_host(self, host, peer, leaving):
+    async def register_host(self, host, peer, draining):
         return Failure(Kind.PLATFORM_DOWN) if self.down else None
 
     def ledger_rows(self):
@@ -153,7 +153,7 @@
                 return Failure(Kind.FENCED)
             self.highest = order.number
         if order.action == "load":
-            self.items[order.item] = HeldItem(list(order.accelerators), order.bytes, True)
+            self.items[order.item] = LoadedItem(list(order.accelerators), order.bytes, True)
         else:
             self.items.pop(order.item, None)
         self.done.add(order.number)
--- a/tests/relay/test_adapter.py
+++ b/tests/relay/test_adapter.py
@@ -85,7 +85,7 @@
         self.assertEqual((2.0, 1.5, 3.0), (bounds.drain, bounds.config, bounds.order_lease))
 
     @params(("", True), ("bootstrap = true\n", True), ("bootstrap = false\n", False))
-    def test_a_start_is_the_first_unless_the_file_denies_it(self, line, first):
+    def test_first_start_is_true_unless_the_file_says_false(self, line, first):
         self.assertEqual(first, self.load(line + SETTINGS).first_start)
 
     @params(
@@ -101,7 +101,7 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    def test_a_route_keeps_what_it_promises(self):
+    def test_a_route_is_decoded_with_all_its_fields(self):
         route = decode().match("shop.example", "/a/b/c")
         self.assertEqual((RouteKind.STREAM, 6.0, 0.8), (route.kind, route.timeout, route.target))
         self.assertEqual((True, 2, 3.2), (route.repeatable, route.max_sends, route.stall_timeout))
@@ -146,7 +146,7 @@
 class WireTest(unittest.TestCase):
     wire = PlatformWire()
 
-    def test_a_request_names_its_model_work(self):
+    def test_a_request_with_model_headers_is_decoded(self):
         found = self.wire.read_request(
             head(
                 x_model="m1/a2",
@@ -181,7 +181,7 @@
         self.assertEqual(Kind.BAD_REQUEST, found.kind)
 
     @params("x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "kv-fetch", "x-request-priority")
-    def test_a_caller_cannot_steer_an_engine(self, name):
+    def test_a_callers_engine_control_headers_are_dropped(self, name):
         """A caller's request arrives with another caller's reserved memory.
 
         It sends a header with which hosts steer engines, and the host passes it on unread. The
@@ -196,11 +196,11 @@
         found = self.wire.read_request(head(connection="close, x-private", x_private="1"))
         self.assertNotIn("x-private", [key for key, _ in found.headers])
 
-    def test_a_send_names_its_endpoint_and_the_time_that_is_left(self):
+    def test_a_send_carries_its_endpoint_and_remaining_time(self):
         route = decode().match("shop.example", "/a/")
-        asked = self.wire.read_request(head(x_model="m1", x_deadline_ms="6000"))
-        ask = RelayRequest(asked, route, "POST", "/a/", b"", 0.0, 6.0)
-        found = self.wire.write_send(ask, SendOptions("i-1", 1.5, 3, "12"))
+        head_read = self.wire.read_request(head(x_model="m1", x_deadline_ms="6000"))
+        req = RelayRequest(head_read, route, "POST", "/a/", b"", 0.0, 6.0)
+        found = self.wire.write_send(req, SendOptions("i-1", 1.5, 3, "12"))
         self.assertEqual(
             ("i-1", "1500", "3", "12", "a1"),
             tuple(
@@ -218,5 +218,5 @@
     @params(
         (421, {}, True), (503, {"x-not-executed": "1"}, True), (503, {}, False), (500, {}, False)
     )
-    def test_only_the_endpoints_word_says_not_run(self, status, headers, expected):
+    def test_not_run_is_set_only_by_status_or_header(self, status, headers, expected):
         self.assertEqual(expected, self.wire.read_answer(status, headers).not_run)
--- a/tests/relay/test_connections.py
+++ b/tests/relay/test_connections.py
@@ -30,7 +30,7 @@
 
 async def send(endpoints, runner, number, **headers):
     rows = {"x-attempt-id": f"a{number}", "x-target-instance": runner.name} | headers
-    call = Call("POST", "/x", rows | {"content-length": "0"}, b"", once=True)
+    call = Call("POST", "/x", rows | {"content-length": "0"}, b"", at_most_once=True)
     opened = await endpoints.open(f"http://{runner.address}", call)
     if not failed(opened):
         await read_all(opened)
@@ -78,7 +78,7 @@
             seen = []
             for pause in (0.0, 0.0, 0.8):
                 await asyncio.sleep(pause)
-                opened = await endpoints.open(url, Call("GET", "/", {}, b"", once=True))
+                opened = await endpoints.open(url, Call("GET", "/", {}, b"", at_most_once=True))
                 await read_all(opened)
                 await opened.release()
                 seen.append(connections)
--- a/tests/relay/test_early.py
+++ b/tests/relay/test_early.py
@@ -49,7 +49,7 @@
             url = "http://{}:{}".format(*server.sockets[0].getsockname())
             endpoints = HttpEndpoints("x-not-run")
             for body in (BODY, b"short", BODY, b""):
-                opened = await endpoints.open(url, Call("POST", "/", {}, body, once=True))
+                opened = await endpoints.open(url, Call("POST", "/", {}, body, at_most_once=True))
                 self.assertFalse(failed(opened))
                 self.assertEqual(b"no", await read_all(opened))
                 await opened.release()
--- a/tests/relay/test_endings.py
+++ b/tests/relay/test_endings.py
@@ -48,8 +48,8 @@
 async def fetch(raw: bytes, reset: bool):
     endpoints = HttpEndpoints("x-not-run")
     async with Endpoint(raw, reset) as endpoint:
-        opened = await endpoints.open(endpoint.url, Call("GET", "/", {}, b"", once=True))
-        first = await opened.read_some()
+        opened = await endpoints.open(endpoint.url, Call("GET", "/", {}, b"", at_most_once=True))
+        first = await opened.read_chunk()
         endpoint.read.set()
         rest = await read_all(opened)
         await opened.release()
--- a/tests/relay/test_hubs.py
+++ b/tests/relay/test_hubs.py
@@ -102,6 +102,6 @@
             await found.until(lambda: all(h.peers.has_lease_holder() for h in found.hosts))
             refused = next(h for h in found.hosts if not h.leadership.holds())
             refused.store._url = f"http://{free_address()}"
-            refused.store.suspect()
+            refused.store.renew_connections()
             found.configure(version=7)
             await found.until(lambda: refused.front.deployment.version == 7, seconds=4.0)
--- a/tests/relay/test_ordering.py
+++ b/tests/relay/test_ordering.py
@@ -64,7 +64,7 @@
         if not failed(found):
             seconds = self.uptime.now + STORE_AHEAD
             self.uptime.now += self.rng.uniform(0.0, 0.05)
-            self.time.note(seconds, asked_at)
+            self.time.record(seconds, asked_at)
         return found
 
 
--- a/tests/relay/test_outages.py
+++ b/tests/relay/test_outages.py
@@ -140,7 +140,7 @@
     async def read_table(self, table):
         return TableView({}, 1)
 
-    def suspect(self):
+    def renew_connections(self):
         pass
 
     async def follow(self, table, after, hold, answer):
--- a/tests/relay/test_start.py
+++ b/tests/relay/test_start.py
@@ -7,7 +7,7 @@
 import sys
 import unittest
 
-from peridotdock.cli.relay import ease_imports
+from peridotdock.cli.relay import speed_up_imports
 
 # What only the product's own interface needs. None of it serves a caller of the relaying daemon.
 NEVER_LOADED = (
@@ -47,5 +47,5 @@
         self.addCleanup(gc.enable)
         for environ, expected in cases:
             with self.subTest(environ=environ):
-                ease_imports(environ)
+                speed_up_imports(environ)
                 self.assertEqual(expected, (environ["SSL_CERT_FILE"], environ["SSL_CERT_DIR"]))
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -132,7 +132,7 @@
 class ReportTest(unittest.TestCase):
     def test_a_report_identifies_its_start(self):
         raw = json.dumps({"seq": 2, "busy": False, "models": [], "born": SECOND}).encode()
-        self.assertEqual(SECOND, decode_report(raw).born)
+        self.assertEqual(SECOND, decode_report(raw).started_ms)
 
 
 class EngineRecordTest(unittest.TestCase):
--- a/tests/relay/test_store_time.py
+++ b/tests/relay/test_store_time.py
@@ -7,7 +7,7 @@
 from nose2.tools import params
 
 from peridotdock.clients.platform import Transaction
-from peridotdock.clients.store_time import ROUNDING, StoreTime
+from peridotdock.clients.store_time import ROUNDING_SECONDS, StoreTime
 from peridotdock.metrics import Metrics
 from peridotdock.platform.adapter import PlatformAdapter
 from peridotdock.relay.settings import parse_address
@@ -21,19 +21,19 @@
         self.assertEqual((None, None), (found.earliest(), found.latest()))
 
     @params(("at once", 0.0, 0.0), ("a slow answer", 0.4, 0.0), ("some time ago", 0.4, 2.0))
-    def test_the_time_is_between_when_it_was_asked_for_and_heard(self, name, took, past):
+    def test_the_time_is_between_the_bounds_of_the_call(self, name, took, past):
         clock = FakeClock()
-        found, asked_at = StoreTime(clock.monotonic), clock.monotonic()
+        found, sent_at = StoreTime(clock.monotonic), clock.monotonic()
         clock.time += took
-        found.note(7000.0, asked_at)
+        found.record(7000.0, sent_at)
         clock.time += past
         self.assertAlmostEqual(7000.0 + past, found.earliest(), msg=name)
-        self.assertAlmostEqual(7000.0 + ROUNDING + took + past, found.latest(), msg=name)
+        self.assertAlmostEqual(7000.0 + ROUNDING_SECONDS + took + past, found.latest(), msg=name)
 
 
 class ClientTest(unittest.TestCase):
     @params("read", "write")
-    def test_the_store_tells_its_time(self, call):
+    def test_each_answer_of_the_store_sets_its_time(self, call):
         """A lost holder's lease is waited for too long, as no answer's time is read."""
 
         async def play():
--- a/tests/relay/test_views.py
+++ b/tests/relay/test_views.py
@@ -56,7 +56,7 @@
     async def read_table(self, table):
         return TableView({key: row[0] for key, row in self.values.items()}, self.version)
 
-    def suspect(self):
+    def renew_connections(self):
         pass
 
     async def follow(self, table, after, seconds, margin=MARGIN):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -15,7 +15,7 @@
 from nose2.tools import params
 
 from peridotdock import ledger as ledgers
-from peridotdock.clients.endpoint import HeldItem
+from peridotdock.clients.endpoint import LoadedItem
 from peridotdock.controllers import (
     DRAIN_SECONDS,
     IDLE_CHECK_SECONDS,
@@ -273,7 +273,7 @@
 
     def test_an_item_nobody_ordered_is_charged(self):
         world = self.world
-        world.engine("e0").items["stray@1"] = HeldItem([0], 70, True)
+        world.engine("e0").items["stray@1"] = LoadedItem([0], 70, True)
         world.reconcile("h0")
         self.load("m1@1")
         self.assertNotIn("m1@1", world.engine("e0").items)
@@ -392,7 +392,7 @@
         row = ledgers.Reservation("m0@1", state, 40, (0,), 1)
         ledger = Ledger("e0", reservations=(row,), order=1)
         held = {ledgers.Presence.READY: True, ledgers.Presence.PARTIAL: False}
-        items = {"m0@1": HeldItem([0], 40, held[presence])} if presence in held else {}
+        items = {"m0@1": LoadedItem([0], 40, held[presence])} if presence in held else {}
         report = FakeEngine((100,), True).report()
         report.items.update(items)
         after = ledgers.observe(ledger, report)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
     Committed,
     HttpPlatform,
     Transaction,
-    commit_surely,
+    commit_and_resolve,
 )
 from peridotdock.errors import Kind, failed
 from peridotdock.keys import KeyTable
@@ -56,7 +56,7 @@
 
     async def test_of_two_inserts_one_wins(self):
         txs = [Transaction({"a": 0}, {"a": {"n": n}}) for n in range(2)]
-        outcomes = await asyncio.gather(*(commit_surely(self.platform, tx) for tx in txs))
+        outcomes = await asyncio.gather(*(commit_and_resolve(self.platform, tx) for tx in txs))
         self.assertEqual(sum(not failed(outcome) for outcome in outcomes), 1)
 
 
@@ -91,15 +91,15 @@
         self.standin.faults["hang"] = False
         self.assertEqual(await self.platform.read(["a"]), {})
 
-    async def test_nobody_listens(self):
-        nobody = HttpPlatform("http://127.0.0.1:9", timeout=0.2)
-        outcome = await nobody.commit(Transaction({"a": 0}, {"a": {}}))
+    async def test_a_refused_connection_is_not_done(self):
+        unreachable = HttpPlatform("http://127.0.0.1:9", timeout=0.2)
+        outcome = await unreachable.commit(Transaction({"a": 0}, {"a": {}}))
         self.assertEqual(outcome.kind, Kind.PLATFORM_DOWN)
-        await nobody.close()
+        await unreachable.close()
 
-    async def test_a_lost_answer_is_made_good(self):
+    async def test_the_outcome_of_a_lost_answer_is_found(self):
         self.standin.faults["lose"] = 1
-        outcome = await commit_surely(self.platform, Transaction({"a": 0}, {"a": {}}))
+        outcome = await commit_and_resolve(self.platform, Transaction({"a": 0}, {"a": {}}))
         self.assertIsInstance(outcome, Committed)
 
 
@@ -121,13 +121,13 @@
     def test_series(self, faults, expected):
         platform = FakePlatform()
         platform.faults = list(faults)
-        outcome = asyncio.run(commit_surely(platform, Transaction({"a": 0}, {"a": {"n": 1}})))
+        outcome = asyncio.run(commit_and_resolve(platform, Transaction({"a": 0}, {"a": {"n": 1}})))
         self.assertEqual(outcome.kind if failed(outcome) else type(outcome), expected)
 
-    def test_a_late_write_after_a_sure_one_does_nothing(self):
+    def test_a_late_write_after_a_confirmed_one_does_nothing(self):
         platform = FakePlatform()
         platform.faults = ["late"]
-        asyncio.run(commit_surely(platform, Transaction({"a": 0}, {"a": {"n": 1}})))
+        asyncio.run(commit_and_resolve(platform, Transaction({"a": 0}, {"a": {"n": 1}})))
         before = platform.rows["a"].version
         self.assertTrue(all(failed(outcome) for outcome in platform.land_late()))
         self.assertEqual(platform.rows["a"].version, before)
@@ -140,7 +140,7 @@
         self.lease = HostLease("h0", "h0-life1", 6.0, self.clock)
         self.lease_table = LeaseTable(6.0, self.clock)
 
-    async def look(self):
+    async def update_leases(self):
         self.lease_table.update(await self.platform.scan("hosts/"))
 
     async def test_a_lease_counts_from_before_the_renewal_was_sent(self):
@@ -159,9 +159,9 @@
         self.clock.advance(1.5)
         self.assertFalse(self.lease.valid())
 
-    async def test_it_lapses_for_its_holder_before_it_does_for_others(self):
+    async def test_a_lease_lapses_for_its_holder_first(self):
         await self.lease.renew(self.platform)
-        await self.look()
+        await self.update_leases()
         for _ in range(100):
             self.clock.advance(0.1)
             if self.lease_table.prove_lapsed("h0-life1") is not None:
@@ -169,13 +169,13 @@
                 return
         self.fail("never lapsed")
 
-    async def test_a_renewal_between_look_and_write_stops_a_take_over(self):
+    async def test_a_renewal_between_read_and_write_stops_a_take_over(self):
         """
         A holder was paused until just before others take over, then renews. The take-over was
         decided on the old row; its transaction must fail.
         """
         await self.lease.renew(self.platform)
-        await self.look()
+        await self.update_leases()
         self.clock.advance(10)
         checks = self.lease_table.prove_lapsed("h0-life1")
         self.assertIsNotNone(checks)
@@ -183,19 +183,19 @@
         outcome = await self.platform.commit(Transaction(checks, {"ledger/e0": {}}))
         self.assertEqual(outcome.kind, Kind.CONFLICT)
 
-    async def test_an_earlier_life_of_a_host_is_over_at_once(self):
+    async def test_an_earlier_incarnation_of_a_host_is_over_at_once(self):
         await HostLease("h0", "h0-life2", 6.0, self.clock).renew(self.platform)
-        await self.look()
+        await self.update_leases()
         self.assertIsNotNone(self.lease_table.prove_lapsed("h0-life1"))
         self.assertIsNone(self.lease_table.prove_lapsed("h0-life2"))
 
-    async def test_nothing_has_lapsed_before_the_first_look(self):
+    async def test_nothing_has_lapsed_before_the_first_read(self):
         self.assertIsNone(self.lease_table.prove_lapsed("h9-life1"))
 
-    async def test_a_lease_given_up_needs_no_waiting(self):
+    async def test_a_released_lease_has_lapsed_at_once(self):
         await self.lease.renew(self.platform)
         await self.lease.release(self.platform)
-        await self.look()
+        await self.update_leases()
         self.assertIsNotNone(self.lease_table.prove_lapsed("h0-life1"))
         self.assertFalse(self.lease.valid())
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -24,10 +24,10 @@
         time.sleep(0.05)
 
 
-def ask(url, **body):
+def request_completion(url, **body):
     body = {"model": "haneul-model-0", "prompt": "hello", "max_tokens": 4} | body
-    head = {"authorization": f"Bearer {TOKEN}", "content-type": "application/json"}
-    request = urllib.request.Request(f"{url}/v1/completions", json.dumps(body).encode(), head)
+    headers = {"authorization": f"Bearer {TOKEN}", "content-type": "application/json"}
+    request = urllib.request.Request(f"{url}/v1/completions", json.dumps(body).encode(), headers)
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(request, timeout=30) as resp:
@@ -47,19 +47,19 @@
         document["adapters"] = []
         cls.deployment.wait_true(cls.deployment.publish(document)["generation"])
 
-    def seen(self, host):
+    def host_states(self, host):
         rows = call(f"{host.url}/admin/hosts", OPERATOR_TOKEN)["rows"]
         return {row["host"]: row["state"] for row in rows}
 
-    def test_1_a_killed_host_is_missed_and_its_engines_get_another_controller(self):
+    def test_1_a_killed_host_is_noticed_and_its_engines_get_another_controller(self):
         """
         A host is killed outright. The other one goes on answering, sees it silent, and becomes
         controller of every engine once the dead one's lease has lapsed.
         """
         first, second = self.deployment.hosts["host-0"], self.deployment.hosts["host-1"]
         first.signal(signal.SIGKILL)
-        self.assertEqual(ask(second.url)[0], 200)
-        wait_until(lambda: self.seen(second).get("host-0") != "live", "the dead host missed")
+        self.assertEqual(request_completion(second.url)[0], 200)
+        wait_until(lambda: self.host_states(second).get("host-0") != "live", "the dead host missed")
 
         def controllers():
             rows = call(f"{second.url}/admin/events", OPERATOR_TOKEN)["rows"]
@@ -68,7 +68,7 @@
         wait_until(lambda: len(controllers()) == 2, "both engines taken over")
         self.deployment.add_host(0)
         host = self.deployment.hosts["host-0"]
-        wait_until(lambda: ask(host.url)[0] == 200, "the new host serves")
+        wait_until(lambda: request_completion(host.url)[0] == 200, "the new host serves")
 
     def test_2_a_frozen_engine_costs_no_answer(self):
         """
@@ -79,7 +79,7 @@
         engine = self.deployment.engines["engine-0"]
         engine.signal(signal.SIGSTOP)
         try:
-            self.assertEqual([ask(host.url)[0] for _ in range(3)], [200] * 3)
+            self.assertEqual([request_completion(host.url)[0] for _ in range(3)], [200] * 3)
         finally:
             engine.signal(signal.SIGCONT)
 
@@ -96,20 +96,20 @@
         """
         host = self.deployment.hosts["host-0"]
         found = []
-        asking = threading.Thread(
-            target=lambda: found.append(ask(host.url, stream=True, max_tokens=300))
+        request_thread = threading.Thread(
+            target=lambda: found.append(request_completion(host.url, stream=True, max_tokens=300))
         )
-        asking.start()
+        request_thread.start()
 
-        def in_work():
+        def request_running():
             opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
             text = opener.open(f"{host.url}/metrics", timeout=10).read()
             return b"peridotdock_in_work 1.0" in text
 
-        wait_until(in_work, "the stream under way")
+        wait_until(request_running, "the stream under way")
         host.signal(signal.SIGTERM)
         host.signal(signal.SIGTERM)
-        asking.join(WAIT_SECONDS)
+        request_thread.join(WAIT_SECONDS)
         status, raw = found[0]
         self.assertEqual(status, 200)
         self.assertTrue(raw.rstrip().endswith(b"data: [DONE]"))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -121,7 +121,7 @@
             runner.script, runner.rest, link.mode = ["refuse"], 1.5, mode
             endpoints = HttpEndpoints()
             headers = {"x-attempt-id": "a1", "x-target-instance": "e1", "content-length": "0"}
-            call = Call("POST", "/x", headers, b"", once=True)
+            call = Call("POST", "/x", headers, b"", at_most_once=True)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
                     await endpoints.open(f"http://{link.address}", call)
