--- a/peridotdock/cli/__init__.py
+++ b/peridotdock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines: the daemon and the operators' tool."""
+"""Command-line programs: the daemons and the operators' tool."""
--- a/peridotdock/cli/calls.py
+++ b/peridotdock/cli/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' tool to a host."""
+"""HTTP calls of the operators' tool to a host."""
 
 import json
 import urllib.error
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A call that did not succeed: what to say, and with which status to exit."""
+    """A failed call: the message for the operator and the exit status.
+
+    ``errors`` lists each error of a manifest that was refused.
+    """
 
     message: str
     status: ExitStatus
@@ -21,20 +24,20 @@
 
 
 class HostCaller:
-    """Calls one host as an operator."""
+    """Calls the admin API of one host with the operators' token."""
 
     def __init__(self, url: str, token: str):
         self._url = url.rstrip("/")
         self._token = token
-        # Hosts are reached by IP number, never through a proxy.
+        # Hosts are called by IP address, never through a proxy.
         self._opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
 
     def get(self, path: str) -> dict[str, Any] | Refusal:
-        """Read something."""
+        """Send a GET for a path below ``/admin/``; return the decoded answer."""
         return self._call("GET", path, None)
 
     def post(self, path: str, body: bytes) -> dict[str, Any] | Refusal:
-        """Send something."""
+        """Send a POST of JSON to a path below ``/admin/``; return the decoded answer."""
         return self._call("POST", path, body)
 
     def _call(self, method: str, path: str, body: bytes | None) -> dict[str, Any] | Refusal:
@@ -52,7 +55,7 @@
 
 
 def read_refusal(exc: urllib.error.HTTPError) -> Refusal:
-    """Build a refusal from a host's answer."""
+    """Build a refusal from a host's error response; one without a known body has status ERROR."""
     try:
         body = json.load(exc)
         error = body["error"]
--- a/peridotdock/cli/daemon.py
+++ b/peridotdock/cli/daemon.py
@@ -1,4 +1,4 @@
-"""``peridotdockd``: every setting of the schema is a flag and a variable."""
+"""``peridotdockd``, the daemon: each setting of the schema is an option and a variable."""
 
 import os
 import sys
@@ -14,7 +14,7 @@
 
 
 def add_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Give a command one option for each setting. Values are checked later, all at once."""
+    """Add an option for each setting. The values are validated later, all together."""
     properties = load_schema("settings")["properties"]
     for name, rule in reversed(properties.items()):
         default = f" Default: {rule['default']}." if rule.get("default") not in (None, "") else ""
@@ -30,9 +30,10 @@
 def main(**flags: Any) -> None:
     """Serve callers on this host, together with the other hosts.
 
-    Settings come from flags, then from variables. All errors in them are shown at once, and the
-    exit status is then 2. SIGTERM stops the host gracefully: it leaves the answers to callers,
-    goes on until running requests have ended, hands over its roles and exits with status 0.
+    Settings come from options, then from environment variables. All invalid ones are listed
+    together, and the exit status is then 2. SIGTERM stops the host gracefully: its address is no
+    longer given to callers, requests in progress complete, its roles are handed over, and it exits
+    with status 0.
     """
     sys.exit(run_daemon(flags, os.environ, Streams()))
 
--- a/peridotdock/cli/operators.py
+++ b/peridotdock/cli/operators.py
@@ -1,4 +1,4 @@
-"""``peridotdock``: the operators' command."""
+"""``peridotdock``, the command-line tool for operators."""
 
 import os
 import sys
@@ -22,7 +22,7 @@
 
 
 class Tool:
-    """What every subcommand needs."""
+    """State that all subcommands share: the client of a host and the output writer."""
 
     def __init__(self, env: Environment, host: str, token: str, form: str):
         self.caller = HostCaller(host, token)
@@ -30,11 +30,11 @@
         self.writer = Writer(env.streams, form)
 
     def fetch(self, path: str) -> dict[str, Any]:
-        """Read from the host, or end with its refusal."""
+        """Read a path from the host; on a refusal, print it and exit with its status."""
         return self.expect(self.caller.get(path))
 
     def expect(self, outcome: dict[str, Any] | Refusal) -> dict[str, Any]:
-        """Return an outcome, or end with the refusal it is."""
+        """Return a successful outcome; print a refusal and exit with its status."""
         if not isinstance(outcome, Refusal):
             return outcome
         self.writer.write_error(outcome.message)
@@ -59,12 +59,12 @@
 )
 @click.pass_context
 def main(ctx: click.Context, host: str, operator_token: str, form: str) -> None:
-    """Drive and look at a peridotdock deployment.
+    """Inspect and control a peridotdock deployment.
 
-    Every subcommand asks one host, which knows of all the others. Exit statuses: 0 done,
-    1 error, 2 wrong use, 3 the manifest is invalid, 4 another manifest was faster or newer,
-    5 the host or the platform cannot be reached, 6 it is not known whether a publication took
-    effect (publish the same again), 7 not an operator.
+    Subcommands call one host, which has the state of all the others. Exit statuses: 0 done,
+    1 error, 2 wrong use, 3 the manifest is invalid, 4 another manifest was published first or is
+    newer, 5 the host or the platform cannot be reached, 6 it is not known whether a publication
+    took effect (publish the same again), 7 not an operator.
     """
     env = ctx.obj or Environment(Streams(), os.environ)
     ctx.obj = Tool(env, host, operator_token, form)
@@ -79,7 +79,7 @@
 @click.argument("file", type=click.File("rb"))
 @pass_tool
 def check(tool: Tool, file: BinaryIO) -> None:
-    """Check a manifest without a host and change nothing. Every error is listed, with its path."""
+    """Validate a manifest locally, without calling a host. Lists every error with its path."""
     checked = check_all(file.read())
     if checked.manifest is None:
         for error in checked.errors:
@@ -92,7 +92,7 @@
 @click.argument("file", type=click.File("rb"))
 @pass_tool
 def publish(tool: Tool, file: BinaryIO) -> None:
-    """Make a manifest the one in force. Publishing the same again changes nothing."""
+    """Put a manifest in force. Publishing the same one again changes nothing."""
     tool.writer.record(tool.expect(tool.caller.post("manifest", file.read())))
 
 
@@ -136,12 +136,12 @@
 @manifest.command()
 @pass_tool
 def status(tool: Tool) -> None:
-    """Show what is in force on each host, and what of the manifest is not yet true, and why."""
+    """Show the manifest in force on each host, and what of it is not yet applied, and why."""
     tool.writer.record(tool.fetch("status"))
 
 
 def add_listing(name: str, path: str, text: str) -> None:
-    """Add a subcommand that lists what a host gives at ``path``."""
+    """Add a subcommand that lists the rows that a host returns for ``path``."""
 
     @main.command(name, help=text)
     @pass_tool
@@ -162,10 +162,10 @@
 @click.option("--since", default=0, help="Only events from this stamp on.")
 @pass_tool
 def events(tool: Tool, request: str, endpoint: str, item: str, since: int) -> None:
-    """Show the time line: the events of all hosts in causal order.
+    """Show the events of all hosts in causal order.
 
-    The stamp is a hybrid logical clock, so an event that was caused by a message stands behind
-    the sending of it, even where the hosts' clocks differ.
+    The stamp is a hybrid logical clock, so an event that a message caused is listed after the
+    sending of the message, even if the hosts' clocks differ.
     """
     query = f"events?request={request}&endpoint={endpoint}&item={item}&since={since}"
     rows = []
@@ -188,19 +188,19 @@
     """Show why callers were not served in time, from the logs of all hosts.
 
     Each request counts once, under the first cause that its lines name: a refusal with its reason,
-    an answer that broke off, a pause within a stream, a late first token. No host is asked.
+    an answer that was cut off, a pause within a stream, or a late first token. No host is called.
     """
     lines = (line for file in files for line in file)
     tool.writer.rows(find_reasons(lines, since, until))
 
 
 def format_time(stamp: int) -> str:
-    """Return the time of day of a stamp, for people."""
+    """Return the UTC time of a stamp in ISO format; its bits from 16 up are Unix milliseconds."""
     return datetime.fromtimestamp((stamp >> 16) / 1000, UTC).isoformat(timespec="milliseconds")
 
 
 def run(args: Sequence[str], env: Environment) -> int:
-    """Run the command within this process and return its exit status."""
+    """Run the command in this process and return its exit status."""
     try:
         status = main.main(list(args), "peridotdock", standalone_mode=False, obj=env)
     except click.UsageError as exc:
--- a/peridotdock/cli/relay.py
+++ b/peridotdock/cli/relay.py
@@ -1,7 +1,7 @@
 """``python -m peridotdock.cli.relay``: the daemon on the users' platform.
 
-Nearly all of a start is imports, and while hosts start their callers find nobody. So the process is
-made ready for them first, and the daemon is imported after that.
+Imports take nearly all of the start time, in which callers can't connect to the host. So this
+process is first set up for fast imports, and only then imports the daemon.
 """
 
 import gc
@@ -11,11 +11,11 @@
 
 
 def speed_up_imports(environ: MutableMapping[str, str]) -> None:
-    """Do without what makes imports slow and what this daemon never uses.
+    """Disable what slows imports down and isn't needed.
 
-    aiohttp reads the system's certificates when it is imported, for connections with TLS, of which
-    this daemon opens none. The collector looks for unused objects among those that imports make,
-    and finds hardly any. ``make bench-start`` shows what each saves.
+    aiohttp loads the system's certificates for TLS when it is imported, but this daemon opens no
+    TLS connections. The garbage collector scans the objects that imports create, and finds hardly
+    any garbage. ``make bench-start`` measures what each of the two saves.
     """
     environ.setdefault("SSL_CERT_FILE", os.devnull)
     environ.setdefault("SSL_CERT_DIR", os.devnull)
@@ -23,7 +23,7 @@
 
 
 def main() -> None:
-    """Run with the process's environment and streams."""
+    """Run the daemon with the process's environment and streams, and exit with its status."""
     speed_up_imports(os.environ)
     from peridotdock.context import Streams
     from peridotdock.relay.daemon import run
--- a/peridotdock/clients/__init__.py
+++ b/peridotdock/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the systems around a host: platform and endpoints."""
+"""Clients of the external systems that a host calls: the platform and the endpoints."""
--- a/peridotdock/clients/endpoint.py
+++ b/peridotdock/clients/endpoint.py
@@ -1,7 +1,8 @@
-"""Endpoints behind one protocol: requests, streams that can be resumed, reports and orders.
+"""Client protocol for endpoints: requests, resumable streams, reports and orders.
 
-:class:`HttpEndpoints` speaks the form of the stand-in; a real engine's form comes as another
-adapter. The choice of aiohttp over blacksheep's client is measured in docs/design/http-clients.md.
+:class:`HttpEndpoints` implements the HTTP interface of the stand-in engine; a real engine needs its
+own adapter. docs/design/http-clients.md has the measurements that chose aiohttp over blacksheep's
+client.
 """
 
 import asyncio
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class LoadedItem:
-    """An item on an engine, by the engine's word: where, how large, and whether it can serve."""
+    """An item that an engine reports: its accelerators, size, and whether it can serve."""
 
     accelerators: list[int]
     bytes: int
@@ -60,9 +61,10 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What an engine says of itself. ``age`` is how old the load is, in seconds.
+    """State that an engine reports. ``age`` is the age of ``load`` in seconds.
 
-    ``events`` are (sequence, "add" or "drop", block); a hole in the sequence is a gap.
+    ``events`` are cache events: (sequence, "add" or "drop", block). A missing sequence number means
+    that events were lost.
     """
 
     boot: str
@@ -76,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order to an engine. The same number is the same order, however often it comes."""
+    """An order to an engine. Orders with the same number are repeats of one order."""
 
     number: int
     action: str
@@ -87,11 +89,11 @@
 
 @dataclass(frozen=True)
 class Call:
-    """A request to an endpoint, as it goes out.
+    """A request to an endpoint, as it is sent.
 
-    ``at_most_once`` forbids the library's own repeat. ``connect_timeout`` is how long a new
-    connection may take, in seconds. ``still_wanted`` tells, when there is a connection, whether it
-    is still to be sent.
+    ``at_most_once`` disables the HTTP library's own retry. ``connect_timeout`` is the limit for
+    opening a new connection, in seconds. ``still_wanted`` is called once there is a connection; the
+    request is sent only if it returns true.
     """
 
     method: str
@@ -105,14 +107,17 @@
 
 @dataclass(frozen=True)
 class StreamState:
-    """How far an engine is with a stream."""
+    """Progress of a stream on its engine."""
 
     tokens: int
     done: bool
 
 
 class OpenResponse:
-    """An answer that has begun. It must be released; only a finished one frees its connection."""
+    """An answer whose head has arrived.
+
+    It must be released. Its connection is reused only if the answer was read to its end.
+    """
 
     def __init__(self, resp: ConnectionAwareResponse, stack: AsyncExitStack):
         self._resp = resp
@@ -121,14 +126,14 @@
         self.headers = resp.headers
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes, or none at the end. Raises what :data:`BROKEN` lists."""
+        """Return the next bytes, empty at the end. Raises the errors in :data:`TRANSFER_ERRORS`."""
         part = await self._resp.content.readany()
         if not part and not await self._resp.is_complete():
-            raise aiohttp.ClientPayloadError("the connection was reset before its end")
+            raise aiohttp.ClientPayloadError("connection was reset before the end of the answer")
         return part
 
     def abort(self) -> None:
-        """Close the connection now: a read that waits fails, and the endpoint sees the close."""
+        """Close the connection now: a pending read fails, and the endpoint sees the close."""
         self._resp.close()
 
     async def release(self) -> None:
@@ -139,29 +144,29 @@
 
 
 class Endpoints(Protocol):
-    """What peridotdock asks of endpoints."""
+    """Calls that peridotdock makes to endpoints."""
 
     async def open(self, url: str, call: Call) -> OpenResponse | Failure:
-        """Send a request; the failure tells whether it may have run."""
+        """Send a request; the kind of a failure tells whether the request may have run."""
 
     async def report(self, url: str, since: int) -> Report | Failure:
         """Read an engine's report, with the cache events after ``since``."""
 
     async def order(self, url: str, order: Order, timeout: float) -> Failure | None:
-        """Give an order and wait until it is carried out."""
+        """Send an order and wait until it is carried out."""
 
     async def probe(self, url: str, stream: str) -> StreamState | None | Failure:
-        """Ask over a fresh connection how far a stream is; None when it is unknown there."""
+        """Return the progress of a stream, read over a new connection; None when it is unknown."""
 
     def cancel(self, url: str, stream: str) -> None:
         """Stop a stream, without waiting for it."""
 
 
 class HttpEndpoints:
-    """Endpoints over HTTP, with a pool of connections for each.
+    """Endpoints over HTTP, with one connection pool per endpoint.
 
-    ``not_run_header`` is the header with which an endpoint says that it did not run a request; None
-    where whoever sends looks at the head of the answer.
+    ``not_run_header`` is the response header that marks a request that the endpoint did not run;
+    None when the sender checks the head of the answer itself.
     """
 
     def __init__(self, not_run_header: str | None = NOT_RUN_HEADER) -> None:
@@ -183,7 +188,7 @@
             await pool.close()
 
     def renew_connections(self, url: str) -> None:
-        """Take no kept connection to ``url`` again: one was found dead, all are suspect."""
+        """Stop reusing connections to ``url``: one of them was dead, so all may be."""
         self._pool(url).renew()
         self._control_pool(url).renew()
 
@@ -233,7 +238,10 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
     ) -> tuple[int, bytes] | Failure:
-        """Make a small call beside the requests, on connections of its own."""
+        """Make a small control call, on connections apart from those of requests.
+
+        Returns the status and at most ``MAX_REPORT_BYTES`` of the body.
+        """
         limit = aiohttp.ClientTimeout(total=timeout, sock_connect=timeout)
         pool = self._control_pool(url)
         try:
@@ -252,13 +260,13 @@
             return Failure(Kind.ENDPOINT_LOST, type(exc).__name__)
 
     async def report(self, url: str, since: int) -> Report | Failure:
-        """Read a report; anything that cannot be read is a failure of the endpoint."""
+        """Read a report; one that can't be decoded is a failure of the endpoint."""
         path = f"/control/report?since={since}"
         outcome = await self.control_call("GET", url, path, REPORT_TIMEOUT_SECONDS)
         return outcome if failed(outcome) else read_as(outcome, Report)
 
     async def order(self, url: str, order: Order, timeout: float) -> Failure | None:
-        """Give an order; a refusal for its old number is the kind fenced."""
+        """Send an order; the failure for an outdated number has the kind fenced."""
         body = {
             "order": order.number,
             "action": order.action,
@@ -274,7 +282,7 @@
         return None if outcome[0] == 200 else Failure(Kind.ENDPOINT_ERROR, f"status {outcome[0]}")
 
     async def probe(self, url: str, stream: str) -> StreamState | None | Failure:
-        """Ask for the state of a stream, always over a new connection."""
+        """Read the state of a stream, always over a new connection."""
         self._control_pool(url).renew()
         path = f"/v1/streams/{stream}?probe=1"
         outcome = await self.control_call("GET", url, path, PROBE_TIMEOUT_SECONDS)
@@ -283,9 +291,9 @@
         return None if outcome[0] == 404 else read_as(outcome, StreamState)
 
     def cancel(self, url: str, stream: str) -> None:
-        """Stop a stream; when the word is lost, the engine's own limit stops it later.
+        """Stop a stream in the background; if the call is lost, the engine's own limit stops it.
 
-        It is not waited for: the caller's final answer must not be held up by a dead engine.
+        The call is not awaited, so that a dead engine can't delay the caller's final answer.
         """
         work = self.control_call("DELETE", url, f"/v1/streams/{stream}", PROBE_TIMEOUT_SECONDS)
         task = asyncio.ensure_future(work)
@@ -294,7 +302,7 @@
 
 
 def read_as(outcome: tuple[int, bytes], shape: type[T]) -> T | Failure:
-    """Build ``shape`` from a JSON answer, or say that the endpoint's answer is bad."""
+    """Decode a JSON answer into ``shape``; a bad one is a failure of the endpoint."""
     status, raw = outcome
     if status != 200:
         return Failure(Kind.ENDPOINT_ERROR, f"status {status}")
@@ -305,7 +313,7 @@
 
 
 async def read_all(opened: OpenResponse, limit: int = MAX_ANSWER_BYTES) -> bytes | Failure:
-    """Read an answer to its end; one that breaks off or is too long is a failure."""
+    """Read an answer to its end; one that is cut off or exceeds ``limit`` bytes is a failure."""
     parts: list[bytes] = []
     size = 0
     async for part in iter_chunks(opened):
@@ -319,7 +327,7 @@
 
 
 async def iter_chunks(opened: OpenResponse) -> AsyncIterator[bytes | Failure]:
-    """Give the parts of an answer; a break is the last one given, as a failure."""
+    """Yield the chunks of an answer; if it is cut off, the last item is a failure."""
     while True:
         try:
             part = await opened.read_chunk()
--- a/peridotdock/clients/engines.py
+++ b/peridotdock/clients/engines.py
@@ -1,4 +1,4 @@
-"""Engines that are ordered by number of orders accepted: reports, and loads and unloads."""
+"""Client protocol for engines that count the orders they accept: reports, loads and unloads."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Action(StrEnum):
-    """What an engine can be ordered to do."""
+    """Actions that an engine can be ordered to take."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -20,9 +20,9 @@
 class EngineOrder:
     """An order to one engine; ``adapter`` is empty for a model.
 
-    ``expected`` is the number of orders the engine must have accepted before: an order that
-    arrives late, after another was accepted, is then refused. ``term`` is the fencing number of
-    the host that orders.
+    ``expected`` is the number of orders that the engine must have accepted before this one. An
+    order that arrives late, after another was accepted, no longer matches and is refused. ``term``
+    is the fencing number of the ordering host.
     """
 
     action: Action
@@ -34,7 +34,7 @@
 
 
 class OrderAnswer(StrEnum):
-    """What an engine said to an order."""
+    """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
     HOLDS_ALREADY = "holds_already"
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """An engine's report of itself; some hundred milliseconds old.
+    """An engine's report of its state; some hundred milliseconds old.
 
-    ``seq`` is the number of orders accepted, ``coming`` the adapters on their way, as MODEL/NAME.
-    ``born`` tells which start of the engine speaks, as in its entry.
+    ``seq`` is the number of orders accepted. ``pending_adapters`` are being loaded, as MODEL/NAME.
+    ``started_ms`` is the start time of the reporting incarnation in Unix milliseconds, as in the
+    engine's entry; 0 when the engine doesn't report it.
     """
 
     seq: int
@@ -62,10 +63,10 @@
 
 
 class Engines(Protocol):
-    """Reports of engines, and orders to them."""
+    """Reads reports of engines and sends them orders."""
 
     async def order(self, entry: EndpointEntry, order: EngineOrder) -> OrderAnswer | Failure:
-        """Give an order; a failure leaves open whether it was or will be carried out."""
+        """Send an order; after a failure it may have been carried out, or may still be."""
 
     async def report(self, entry: EndpointEntry) -> EngineState | Failure:
         """Read an engine's report."""
--- a/peridotdock/clients/http.py
+++ b/peridotdock/clients/http.py
@@ -1,7 +1,7 @@
-"""Connections to one kind of outside system, over aiohttp, that can be renewed.
+"""Connection pools over aiohttp for one external system, which can be renewed.
 
-aiohttp sends some methods a second time by itself when a kept connection turns out dead.
-:func:`send_once` stops that: a call that must run at most once would run twice.
+aiohttp retries some methods by itself when a reused connection turns out to be dead.
+:func:`send_once` prevents that, as a call that must run at most once could run twice.
 """
 
 import asyncio
@@ -19,15 +19,17 @@
 from peridotdock.timeouts import IterationTimeout
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Turns of the loop from the one in which the system has made a connection to its first use.
+# Iterations of the event loop from the one in which the kernel has opened a connection to the first
+# use of that connection.
 CONNECT_ITERATIONS = 4
 CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 TRANSFER_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError, ValueError)
 
 
-# Failure: something on the way forgets a connection, or the other end's machine is gone. It shows
-# as a connection that stays open for good. The kernel probes idle ones after a second and gives up
-# on unanswered data after two: longer than any round trip, well under what callers wait.
+# Failure guarded against: a network device drops the state of a connection, or the peer's machine
+# fails, and the connection stays open forever. The kernel probes idle connections after 1 s and
+# gives up on unacknowledged data after 2 s: longer than any round trip, and well below what callers
+# wait.
 DEAD_PEER_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -36,15 +38,15 @@
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2_000),
 )
 KEEP_ALIVE_PATTERN = re.compile(r"timeout\s*=\s*(\d+)")
-# Seconds before the other end closes an idle connection from which on it is not taken again: a
-# request may be on its way for as long, beside a loop or a link that is behind.
+# An idle connection is not reused in the last seconds before the server closes it: a request may
+# take that long to arrive when the event loop or the link is slow.
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
-# Headers that the library would add; a relayed request must reach its endpoint as it was sent.
+# Headers that aiohttp would add; a relayed request must reach its endpoint unchanged.
 AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 def open_socket(info: aiohttp.AddrInfoType) -> socket.socket:
-    """Return a socket that notices when its peer is gone."""
+    """Return a socket that detects a dead peer by keep-alive probes and a send timeout."""
     family, kind, proto, _, _ = info
     sock = socket.socket(family, kind, proto)
     for level, option, value in DEAD_PEER_OPTIONS:
@@ -53,17 +55,17 @@
 
 
 class SecondSend(aiohttp.ClientError):
-    """The library was about to send the same request again."""
+    """aiohttp was about to send the same request again."""
 
 
 def send_once() -> Any:
-    """Return a middleware that lets one request out and refuses the library's own repeat."""
+    """Return a middleware that sends one request and rejects aiohttp's own retry."""
     sent = False
 
     async def middleware(req: aiohttp.ClientRequest, handler: Any) -> aiohttp.ClientResponse:
         nonlocal sent
         if sent:
-            raise SecondSend("not sent a second time")
+            raise SecondSend("request was already sent once; retry suppressed")
         sent = True
         return await handler(req)
 
@@ -71,16 +73,16 @@
 
 
 class ConnectionAwareResponse(aiohttp.ClientResponse):
-    """An answer that can tell how its connection ended.
+    """A response that knows whether its connection was closed cleanly.
 
-    Failure guarded against: an answer without a length ends with its connection, and the library
-    takes a reset for that end too. Half an answer would then be passed on as the whole.
+    Failure guarded against: a response without a length ends when its connection closes, and
+    aiohttp treats a reset as that end too. A truncated answer would be relayed as a complete one.
     """
 
     connection_closed: asyncio.Future[None] | None = None
 
     async def start(self, connection: Any) -> "ConnectionAwareResponse":
-        """Begin to read, with an eye on the connection."""
+        """Start to read, and keep the future that completes when the connection closes."""
         self.connection_closed = connection.protocol.closed
         if self.connection_closed is not None:
             self.connection_closed.add_done_callback(asyncio.Future.exception)
@@ -88,7 +90,7 @@
         return self
 
     async def is_complete(self) -> bool:
-        """Tell whether the answer, read to its end, is whole."""
+        """Return whether the answer is complete; call it after the end was read."""
         framed = "Content-Length" in self.headers or "Transfer-Encoding" in self.headers
         if framed or self.method == "HEAD":
             return True
@@ -99,28 +101,29 @@
 
 
 class Withdrawn(aiohttp.ClientError):
-    """A request was not sent: while it waited for its connection, it was no longer wanted."""
+    """A request was not sent, as it was withdrawn while it waited for its connection."""
 
 
 def always() -> bool:
-    """Send whatever has happened meanwhile."""
+    """Return True: the request is sent in any case."""
     return True
 
 
-# Asked when a request has its connection, right before its first byte.
+# Called when a request has its connection, right before its first byte is sent.
 STILL_WANTED: ContextVar[Callable[[], bool]] = ContextVar("STILL_WANTED", default=always)
 
 
 class Connector(aiohttp.TCPConnector):
-    """Connections whose time to be kept idle can be shortened, and requests that can be withdrawn.
+    """A connector with an adjustable idle timeout, which can withdraw requests.
 
-    Failures guarded against: a connection may take a second, and meanwhile its endpoint says that
-    it leaves; the request would go there later than the endpoint has promised to serve. And a host
-    that stands still for as long takes all endpoints that it was connecting to for unreachable.
+    Failures guarded against: opening a connection may take a second, in which the endpoint may
+    announce that it drains; the request would then arrive later than the endpoint has promised to
+    serve. And a host that stalls for a second would take all endpoints that it was connecting to
+    for unreachable, so the connect timeout also requires iterations of the event loop.
     """
 
     async def connect(self, req: Any, traces: Any, timeout: aiohttp.ClientTimeout) -> Any:
-        """Return a connection, unless the request is no longer wanted when it is there."""
+        """Return a connection; raises Withdrawn if the request is no longer wanted by then."""
         if timeout.sock_connect is None:
             conn = await super().connect(req, traces, timeout)
         else:
@@ -129,19 +132,19 @@
         if STILL_WANTED.get()():
             return conn
         conn.release()
-        raise Withdrawn("not sent")
+        raise Withdrawn("request was withdrawn before it was sent")
 
     def limit_idle_time(self, seconds: float) -> None:
-        """Take no connection again that has been idle for longer."""
+        """Stop reusing connections that have been idle for more than ``seconds``."""
         self._keepalive_timeout = min(self._keepalive_timeout, seconds)
 
 
 class Pool:
-    """Kept connections that can be abandoned all at once.
+    """A connection pool whose connections can be replaced all at once.
 
-    A device on the way can lose track of every open connection while new ones work. It shows
-    as silence, on all kept connections alike. :meth:`renew` leaves them to the requests that
-    still use them, and all later requests open new ones.
+    A network device can lose the state of every open connection while new ones work; all pooled
+    connections are then silent. :meth:`renew` leaves them to the requests that still use them, and
+    all later requests open new ones.
     """
 
     def __init__(self, limit: int = 0, idle_seconds: float = 15.0):
@@ -168,7 +171,7 @@
 
     @asynccontextmanager
     async def use(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Lend the session in use for one request."""
+        """Provide the current session for one request."""
         session = self._get_session()
         self._use_counts[session] += 1
         try:
@@ -181,11 +184,11 @@
                     await session.close()
 
     def apply_keep_alive(self, headers: Mapping[str, str]) -> None:
-        """Keep idle connections no longer than the other end says that it does.
+        """Limit the idle time of connections to the server's ``Keep-Alive`` timeout.
 
-        Failure guarded against: a request goes out on a connection that the other end is closing at
-        that moment, and is lost. If it may run once only, nobody can tell whether it has, and its
-        caller is told 502.
+        Failure guarded against: a request is sent on a connection that the server is closing at
+        that moment, and is lost. If it may run at most once, it is unknown whether it has run, and
+        its caller gets a 502.
         """
         found = KEEP_ALIVE_PATTERN.search(headers.get("Keep-Alive", ""))
         if found is None or self._current is None:
@@ -196,7 +199,7 @@
         self._current.connector.limit_idle_time(self._idle_seconds)
 
     def renew(self) -> None:
-        """Take no kept connection again; those in use go on until their request ends."""
+        """Stop reusing the present connections; those in use stay open until their request ends."""
         session, self._current = self._current, None
         if session is None or self._use_counts[session]:
             return
@@ -214,9 +217,9 @@
 
 
 def read_retry_after(headers: Mapping[str, str]) -> float:
-    """Return the seconds of Retry-After, 0 where there is none or it can't be read.
+    """Return the seconds of Retry-After; 0 when it is missing or can't be parsed.
 
-    Dates are not read: what refuses a request speaks of moments.
+    HTTP dates are not parsed: endpoints that refuse a request name a short delay in seconds.
     """
     try:
         seconds = float(headers.get("retry-after") or 0)
--- a/peridotdock/clients/platform.py
+++ b/peridotdock/clients/platform.py
@@ -1,6 +1,7 @@
-"""The platform's table, object store and host list behind one protocol.
+"""Client protocol for the platform's table, object store and host list.
 
-:class:`HttpPlatform` speaks the form of the stand-in; the real form comes as another adapter.
+:class:`HttpPlatform` implements the HTTP interface of the stand-in; a real platform needs its own
+adapter.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """A row of the table: its value, and a version that is never used twice."""
+    """A row of the table: its value and its version; versions are never reused."""
 
     value: dict[str, Any]
     version: int
@@ -29,10 +30,10 @@
 
 @dataclass(frozen=True)
 class Transaction:
-    """Writes that take effect together, if every row checked still has its version (0: absent).
+    """Writes that are applied atomically if every checked row still has its version (0: absent).
 
-    ``id`` goes into each row written, so that an answer that was lost can be made good by
-    reading the rows back.
+    ``id`` is stored in each written row, so that the outcome of a commit whose answer was lost can
+    be found by reading the rows.
     """
 
     checks: Mapping[str, int]
@@ -42,14 +43,14 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """The transaction took effect; the rows' new version."""
+    """The transaction was applied; ``version`` is the new version of its rows."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class ListedHost:
-    """A line of the platform's lagging host list."""
+    """An entry of the platform's host list, which lags behind."""
 
     id: str
     peer: str
@@ -57,7 +58,7 @@
 
 
 class Platform(Protocol):
-    """What peridotdock needs of the platform."""
+    """Calls that peridotdock makes to the platform."""
 
     async def read(self, keys: Iterable[str]) -> dict[str, Row] | Failure:
         """Return the rows that exist among ``keys``."""
@@ -66,7 +67,7 @@
         """Return the rows whose key starts with ``prefix``."""
 
     async def commit(self, tx: Transaction) -> Committed | Failure:
-        """Try once. Kinds: conflict, platform_down (not done), outcome_unknown."""
+        """Send a transaction once. Kinds: conflict, platform_down (not done), outcome_unknown."""
 
     async def get_object(self, name: str) -> bytes | None | Failure:
         """Return an object, or None when there is none."""
@@ -75,19 +76,19 @@
         """Store an object; the same name always has the same body."""
 
     async def list_hosts(self) -> list[ListedHost] | Failure:
-        """Return the lagging list of live and leaving hosts."""
+        """Return the list of live and draining hosts, which lags behind."""
 
     async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
-        """Put this host on the list."""
+        """Add or update this host in the list."""
 
 
 async def commit_and_resolve(platform: Platform, tx: Transaction) -> Committed | Failure:
-    """Commit, and find out what happened when the answer is lost.
+    """Commit, and find out the outcome when the answer is lost.
 
-    Failure guarded against: the answer is lost after the write took effect, or the write is
-    still on its way. Reading alone cannot tell the two apart, as the write may land after the
-    read. Sending the same transaction again can: it checks the same versions, so at most one
-    of the sends takes effect, and after a conflict the row says whether it was ours.
+    Failure guarded against: the answer is lost after the write was applied, or the write is still
+    in transit. Reading alone can't tell these apart, as the write may be applied after the read.
+    Sending the same transaction again can: it checks the same versions, so at most one of the sends
+    is applied, and after a conflict the id in the row shows whether it was this transaction.
     """
     outcome = await platform.commit(tx)
     for _ in range(MAX_RESOLVE_ATTEMPTS):
@@ -103,7 +104,7 @@
 
 
 async def resolve_conflict(platform: Platform, tx: Transaction) -> Committed | Failure:
-    """Tell after a conflict whether an earlier send of ``tx`` had taken effect."""
+    """Return after a conflict whether an earlier send of ``tx`` was applied."""
     rows = await platform.read(tx.writes)
     if failed(rows):
         return Failure(Kind.OUTCOME_UNKNOWN, rows.reason)
@@ -114,7 +115,7 @@
 
 
 class HttpPlatform:
-    """The platform over HTTP and JSON."""
+    """The platform over HTTP and JSON; ``timeout`` is in seconds for each call."""
 
     def __init__(self, url: str, timeout: float = TIMEOUT_SECONDS):
         self._url = url.rstrip("/")
@@ -170,7 +171,7 @@
         return await self._rows("/table/scan", {"prefix": prefix})
 
     async def commit(self, tx: Transaction) -> Committed | Failure:
-        """Send the transaction once; 409 is a conflict, 503 means that nothing was done."""
+        """Send the transaction once; 409 is a conflict, 503 means that nothing was applied."""
         writes = {
             key: None if value is None else {**value, "write": tx.id}
             for key, value in tx.writes.items()
@@ -209,7 +210,7 @@
         return [ListedHost(row["id"], row["peer"], bool(row.get("leaving"))) for row in found]
 
     async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
-        """Put this host on the list."""
+        """Add or update this host in the list."""
         body = {"id": host, "peer": peer, "leaving": draining}
         found = await self._fetch("POST", "/hosts", body)
         return found if failed(found) else None
--- a/peridotdock/clients/store_time.py
+++ b/peridotdock/clients/store_time.py
@@ -1,15 +1,15 @@
-"""What a host knows of the clock of the platform's store, which its answers tell."""
+"""Bounds on the clock of the platform's store, estimated from the times in its answers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Seconds up to which an answer may round the store's time down.
+# Seconds by which an answer may round the store's time down.
 ROUNDING_SECONDS = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class TimeSample:
-    """A time that the store told, and the host's own when it asked and when it heard."""
+    """The store's time in an answer, and the host's time at the request and at the answer."""
 
     seconds: float
     sent_at: float
@@ -17,23 +17,26 @@
 
 
 class StoreTime:
-    """Bounds on the store's time now. ``clock`` is the host's own, suspensions included."""
+    """Bounds on the store's present time.
+
+    ``clock`` is the host's own clock in seconds; it must advance while the host is suspended.
+    """
 
     def __init__(self, clock: Callable[[], float]):
         self.clock = clock
         self._sample: TimeSample | None = None
 
     def record(self, seconds: float, sent_at: float) -> None:
-        """Take in the time of an answer to a call that was begun at ``sent_at``."""
+        """Record the store's time, in seconds, from the answer to a call sent at ``sent_at``."""
         self._sample = TimeSample(seconds, sent_at, self.clock())
 
     def earliest(self) -> float | None:
-        """Return the least that the store's time can be now, None before its first answer."""
+        """Return the lower bound of the store's time now; None before its first answer."""
         sample = self._sample
         return None if sample is None else sample.seconds + self.clock() - sample.received_at
 
     def latest(self) -> float | None:
-        """Return the most that the store's time can be now, None before its first answer."""
+        """Return the upper bound of the store's time now; None before its first answer."""
         sample = self._sample
         return (
             None
--- a/peridotdock/clients/tables.py
+++ b/peridotdock/clients/tables.py
@@ -1,4 +1,4 @@
-"""Tables that can be followed: what the product needs of a store beside single rows."""
+"""Client protocol for reading whole tables of a store and following their changes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableView:
-    """A table as of one moment: values by key, and the store's version then."""
+    """A snapshot of a table: values by key, and the store's version at that time."""
 
     values: Mapping[str, bytes]
     version: int
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChanges:
-    """What changed in a table up to ``version``: None stands for a removed row."""
+    """Changed rows of a table up to ``version``; None stands for a removed row."""
 
     values: Mapping[str, bytes | None]
     version: int
 
 
 class Tables(Protocol):
-    """Reading whole tables and following their changes."""
+    """Reads whole tables and follows their changes."""
 
     async def read_table(self, table: str) -> TableView | Failure:
         """Return all rows of a table."""
@@ -32,11 +32,11 @@
     async def follow(
         self, table: str, after: int, hold_seconds: float, answer_seconds: float
     ) -> TableChanges | Failure:
-        """Return what changed after a version, waiting up to ``hold`` seconds for a first change.
+        """Return the changes after a version, waiting up to ``hold_seconds`` for the first one.
 
-        ``answer`` is how many seconds more the answer may take before the call counts as lost.
-        Kinds: history_gone when the store no longer has that history, platform_down otherwise.
+        After ``answer_seconds`` more without an answer the call counts as lost. Kinds:
+        history_gone when the store no longer has the changes after ``after``, else platform_down.
         """
 
     def renew_connections(self) -> None:
-        """Take no kept connection again: a call on one of them may never be answered."""
+        """Stop reusing the present connections: a call on one of them may never be answered."""
--- a/peridotdock/output/__init__.py
+++ b/peridotdock/output/__init__.py
@@ -1,1 +1,1 @@
-"""What commands print: produce, format, write."""
+"""Formatting and writing of the output of commands."""
--- a/peridotdock/output/formats.py
+++ b/peridotdock/output/formats.py
@@ -1,4 +1,4 @@
-"""Rows as text: a table for a person, JSON for a program."""
+"""Formatting of rows: a table for people, JSON for programs."""
 
 import json
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 
 
 def format_cell(value: Any) -> str:
-    """Return a value as a person reads it, cut where it is long."""
+    """Return a value as text for a table, truncated to ``MAX_CELL_CHARS``."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     text = str(value)
@@ -24,7 +24,7 @@
 
 
 def format_table(rows: Sequence[dict[str, Any]]) -> str:
-    """Return rows under their column names; numbers stand to the right."""
+    """Return rows as a table with column names; columns of numbers are right-aligned."""
     if not rows:
         return "(nothing)"
     names = list(rows[0])
@@ -42,5 +42,5 @@
 
 
 def is_number(value: Any) -> bool:
-    """Tell whether a value is a number to a person."""
+    """Return whether a value is a number and not a bool."""
     return isinstance(value, int | float) and not isinstance(value, bool)
--- a/peridotdock/output/writer.py
+++ b/peridotdock/output/writer.py
@@ -1,4 +1,4 @@
-"""Writing what a command has to say: tables on a terminal, JSON when piped."""
+"""Writing of a command's results: tables on a terminal, JSON when piped."""
 
 from typing import Any
 
@@ -7,18 +7,21 @@
 
 
 class Writer:
-    """Writes results to standard output and problems to standard error."""
+    """Writes results to standard output and errors to standard error.
+
+    ``form`` is "table", "json" or "auto", which selects a table on a terminal and JSON otherwise.
+    """
 
     def __init__(self, streams: Streams, form: str):
         self._streams = streams
         self._as_table = form == "table" or (form == "auto" and streams.out_is_terminal)
 
     def rows(self, rows: list[dict[str, Any]]) -> None:
-        """Write a list."""
+        """Write a list of rows, all with the same columns."""
         self._write(format_table(rows) if self._as_table else format_json(rows))
 
     def record(self, record: dict[str, Any]) -> None:
-        """Write one thing with its fields."""
+        """Write one record; in a table, each field that is a list of rows gets its own table."""
         if not self._as_table:
             self._write(format_json(record))
             return
@@ -29,7 +32,7 @@
                 self._write(f"\n{name}:\n{format_table(rows)}")
 
     def write_error(self, text: str) -> None:
-        """Write a problem to standard error."""
+        """Write an error message to standard error."""
         self._streams.err.write(f"peridotdock: {text}\n")
 
     def _write(self, text: str) -> None:
--- a/peridotdock/platform/__init__.py
+++ b/peridotdock/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: its names, formats and calls, decoded once. No decisions.
+"""The adapter to the users' platform: encodes and decodes its formats, and makes no decisions.
 
-Nothing outside this package knows a header, path, table, key or word of the platform's pages.
+Header names, paths, tables, keys and terms of the platform's documentation stay in this package.
 """
--- a/peridotdock/platform/adapter.py
+++ b/peridotdock/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as one object."""
+"""The parts of the platform adapter, gathered in one object."""
 
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.store_time import StoreTime
@@ -13,7 +13,7 @@
 
 
 class PlatformAdapter:
-    """The users' platform."""
+    """The users' platform: its formats, table names, engines and store."""
 
     wire = PlatformWire()
     config_table = CONFIG_TABLE
@@ -24,14 +24,14 @@
     write_addresses = staticmethod(write_addresses)
 
     def hide_keys(self, table: str, rows: dict[str, bytes | None]) -> dict[str, bytes | None]:
-        """Return rows of a table with callers' keys as digests."""
+        """Return rows of a table with callers' keys replaced by their digests."""
         raw = rows.get(CONFIG_KEY) if table == CONFIG_TABLE else None
         return rows if raw is None else rows | {CONFIG_KEY: hide_keys(raw)}
 
     def open_engines(self, endpoints: HttpEndpoints) -> PlatformEngines:
-        """Return the platform's engines."""
+        """Return a client for the platform's engines."""
         return PlatformEngines(endpoints)
 
     def open_store(self, address: Address, metrics: Metrics, time: StoreTime) -> TableStore:
-        """Return the platform's store."""
+        """Return a client for the platform's store, which records the store's time in ``time``."""
         return TableStore(address, metrics, time)
--- a/peridotdock/platform/documents.py
+++ b/peridotdock/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, decoded from the platform's row."""
+"""Decoding of the operators' configuration, which is one row of the platform's store."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -20,16 +20,16 @@
 from peridotdock.errors import Failure, Kind
 from peridotdock.workspaces import Quota, Workspace, Workspaces
 
-# Nesting beyond the decoder's depth ends in RecursionError.
+# The decoder raises RecursionError when a document is nested too deep.
 DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, RecursionError)
 
 KEYS_FIELD = "api_keys"
-# In place of keys in a configuration that hosts pass on to each other.
+# Replaces the keys in a configuration that hosts send each other.
 KEY_DIGESTS_FIELD = "key_digests"
 
 
 def decode_deployment(raw: bytes) -> Deployment | Failure:
-    """Read the value of the row that holds the configuration."""
+    """Decode the configuration; a bad one is a failure of kind manifest_invalid."""
     try:
         document = msgspec.json.decode(raw)
         services = [decode_service(row) for row in document["services"]]
@@ -45,7 +45,7 @@
 
 
 def decode_limits(raw: Mapping[str, Any]) -> CallerLimits:
-    """Return what callers may send; what the row leaves out keeps its default."""
+    """Return the limits on callers' requests; a missing field keeps its default."""
     default = CallerLimits()
     return CallerLimits(
         max_header_bytes=int(raw.get("max_header_bytes", default.max_header_bytes)),
@@ -55,7 +55,7 @@
 
 
 def hide_keys(raw: bytes) -> bytes:
-    """Return a configuration with the digests of keys in place of the keys."""
+    """Return a configuration with its keys replaced by their digests, empty if it is bad."""
     try:
         document = msgspec.json.decode(raw)
         for row in document.get("tenants") or ():
@@ -63,12 +63,12 @@
             row.pop(KEYS_FIELD, None)
         return msgspec.json.encode(document)
     except DECODE_ERRORS:
-        # No host can take it in, so what it holds is of no use to any.
+        # No host accepts a bad configuration, so there is no use in sending its contents.
         return b""
 
 
 def read_keys(raw: Mapping[str, Any]) -> list[str]:
-    """Return the digests of a workspace's keys."""
+    """Return the digests of a workspace's keys, whether the row holds keys or digests."""
     return [
         *raw.get(KEY_DIGESTS_FIELD, ()),
         *(digest_key(str(key)) for key in raw.get(KEYS_FIELD) or ()),
@@ -83,7 +83,7 @@
 
 
 def decode_quota(raw: Mapping[str, Any]) -> Quota | None:
-    """Return what a workspace may send; a rate of 0, or none, is no limit."""
+    """Return the quota of a workspace; None for no limit, that is a rate of 0 or no rate."""
     rate = float(raw.get("rate_per_s") or 0)
     if rate <= 0:
         return None
@@ -93,7 +93,7 @@
 
 
 def decode_route(raw: Mapping[str, Any]) -> Route:
-    """Return one route; it names one service, or several with weights."""
+    """Return one route, to one service or to several with weights."""
     split = raw.get("traffic_split") or [{"service": raw.get("service", ""), "weight": 1}]
     kind = RouteKind(raw["kind"])
     timeout = float(raw["timeout_ms"]) / 1000
@@ -108,7 +108,7 @@
         shares=tuple(Share(row["service"], float(row["weight"])) for row in split),
         timeout=timeout,
         target=target,
-        # The platform's "priority": 0 comes first.
+        # In the platform's "priority", 0 is the highest.
         rank=int(raw.get("priority") or 0),
         max_sends=int(raw.get("max_attempts") or 1),
         resumable=streams and bool(raw.get("resumable")),
@@ -119,12 +119,15 @@
 
 
 def compute_stall_timeout(target: float, pause: float) -> float:
-    """Return the seconds after which callers leave a stream that gives no event."""
+    """Return the seconds after which callers disconnect from a stream that sends no event.
+
+    ``target`` and ``pause`` are the route's target latency and longest pause, in seconds.
+    """
     return max(2.0, 4 * target, 8 * pause)
 
 
 def decode_service(raw: Mapping[str, Any]) -> Service:
-    """Return one service."""
+    """Return one service; its engine is None where the row names no models."""
     engine = raw.get("engine")
     return Service(
         name=raw["name"],
@@ -135,7 +138,7 @@
 
 
 def decode_engine(raw: Mapping[str, Any]) -> EngineSpec:
-    """Return what the engines of a service can hold."""
+    """Return the capacity and the models of the engines of a service."""
     models = [decode_model(row) for row in raw["models"]]
     return EngineSpec(
         slots=int(raw["slots"]),
@@ -149,7 +152,7 @@
 
 
 def decode_model(raw: Mapping[str, Any]) -> Model:
-    """Return one model; its adapters are numbered, their names are made from the number."""
+    """Return one model; ``adapters`` is a count, from which the adapters' names are derived."""
     load = float(raw["load_s"])
     return Model(
         name=raw["name"],
--- a/peridotdock/platform/endpoints.py
+++ b/peridotdock/platform/endpoints.py
@@ -1,8 +1,9 @@
-"""What endpoints say of themselves, decoded strictly: their entries in the store, their reports.
+"""Strict decoding of endpoints' entries in the store and of engines' reports.
 
-Load pattern: another writer overwrites an entry, with fields missing or of another type. Taken in
-part, it would send requests to a place that is none, or stop a host that reads on in it. So an
-entry counts only when every field that endpoints always write is there with its type.
+Failure guarded against: another writer overwrites an entry, with fields missing or of another type.
+If it were accepted in part, requests would be sent to an invalid address, or a host that reads the
+other fields would crash. So an entry is accepted only if every field that endpoints always write is
+present with its type.
 """
 
 from typing import Annotated, Literal
@@ -14,14 +15,13 @@
 from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.settings import parse_address
 
-# ValueError is that of an address and, as its subclass, that of a field's type; deep nesting ends
-# in RecursionError.
+# parse_address raises ValueError, and msgspec a subclass of it; deep nesting raises RecursionError.
 ROW_ERRORS = (ValueError, RecursionError)
 NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class LoadedModelRow(msgspec.Struct):
-    """A model that an endpoint holds; adapters are NAME or NAME@VERSION."""
+    """A model that an endpoint has loaded; adapters are NAME or NAME@VERSION."""
 
     name: str
     version: int = 0
@@ -29,14 +29,18 @@
 
 
 class CachedWeightsRow(msgspec.Struct):
-    """Models whose weights an endpoint has in its memory or on its disk."""
+    """Models whose weights an endpoint has cached in its memory or on its disk."""
 
     in_memory: list[str] | None = None
     on_disk: list[str] | None = None
 
 
 class EntryRow(msgspec.Struct):
-    """An endpoint's entry; ``seq`` counts its heartbeats, unlike the one in a report."""
+    """An endpoint's entry in the store.
+
+    ``seq`` counts its heartbeats, unlike the ``seq`` of a report. ``born`` is the start time in
+    Unix milliseconds, 0 when unknown.
+    """
 
     service: str
     address: str
@@ -54,7 +58,7 @@
 class ReportRow(msgspec.Struct):
     """An engine's report; ``seq`` counts the orders it accepted.
 
-    ``coming`` are adapters on their way, as MODEL/NAME@VERSION.
+    ``coming`` are adapters that are being loaded, as MODEL/NAME@VERSION.
     """
 
     seq: NonNegativeInt
@@ -70,7 +74,7 @@
 
 
 def decode_endpoint(endpoint_id: str, raw: bytes) -> EndpointEntry | Failure:
-    """Read the row in which an endpoint registered itself; the row's key is its id."""
+    """Decode the row in which an endpoint registered itself; the row's key is its id."""
     try:
         row = ENTRY.decode(raw)
         parse_address(row.address)
@@ -92,7 +96,7 @@
 
 
 def decode_report(raw: bytes) -> EngineState | Failure:
-    """Read an engine's report."""
+    """Decode an engine's report; a bad one is a failure of kind endpoint_error."""
     try:
         row = REPORT.decode(raw)
     except ROW_ERRORS as exc:
@@ -110,7 +114,7 @@
 
 
 def read_loaded_models(rows: list[LoadedModelRow] | None) -> dict[str, LoadedModel]:
-    """Return the models that an endpoint holds, by name."""
+    """Return the models that an endpoint has loaded, by name."""
     return {
         row.name: LoadedModel(row.version, frozenset(map(strip_version, row.adapters or ())))
         for row in rows or ()
@@ -118,5 +122,5 @@
 
 
 def strip_version(name: str) -> str:
-    """Return an adapter's name without the version that may stand behind it."""
+    """Return an adapter's name without its optional ``@VERSION`` suffix."""
     return name.partition("@")[0]
--- a/peridotdock/platform/engines.py
+++ b/peridotdock/platform/engines.py
@@ -1,4 +1,4 @@
-"""Orders to engines and their reports, in the platform's form."""
+"""Orders to engines and their reports, over the platform's HTTP interface."""
 
 from peridotdock.clients.endpoint import HttpEndpoints
 from peridotdock.clients.engines import EngineOrder, EngineState, OrderAnswer
@@ -9,7 +9,7 @@
 
 ORDER_PATH = "/v1/order"
 REPORT_PATH = "/v1/report"
-# Seconds for either call: both are answered within some milliseconds, or not at all.
+# Seconds for an order or a report: an engine answers within some milliseconds or not at all.
 CALL_TIMEOUT_SECONDS = 0.35
 ORDER_ANSWERS = {
     200: OrderAnswer.HOLDS_ALREADY,
@@ -22,15 +22,16 @@
 
 
 class PlatformEngines:
-    """The platform's engines, over the same connections as other small calls."""
+    """Client for the platform's engines; it shares the connections of other control calls."""
 
     def __init__(self, endpoints: HttpEndpoints):
         self._endpoints = endpoints
 
     async def order(self, entry: EndpointEntry, order: EngineOrder) -> OrderAnswer | Failure:
-        """Give an order. It names the engine's id, so that it can't reach another one.
+        """Send an order. A header names the engine's id, so that no other engine accepts it.
 
-        A later start of this one under the same id takes it, if the count of orders fits.
+        A later incarnation of the engine under the same id accepts the order if ``expected``
+        matches the number of orders that it has accepted.
         """
         body = {
             "operation": order.action.value,
@@ -51,7 +52,7 @@
         return found or Failure(Kind.ENDPOINT_ERROR, f"status {outcome[0]}")
 
     async def report(self, entry: EndpointEntry) -> EngineState | Failure:
-        """Read a report."""
+        """Read an engine's report."""
         headers = {TARGET_HEADER: entry.endpoint_id}
         outcome = await self._endpoints.control_call(
             "GET", f"http://{entry.address}", REPORT_PATH, CALL_TIMEOUT_SECONDS, None, headers
--- a/peridotdock/platform/settings.py
+++ b/peridotdock/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into the product's settings."""
+"""Decoding of the platform's settings file into a host's settings."""
 
 import tomllib
 from collections.abc import Mapping
@@ -10,12 +10,12 @@
 from peridotdock.relay.settings import Address, Bounds, HostSettings, Listen, parse_address
 
 PATH_VARIABLE = "PERIDOTDOCK_SETTINGS"
-# The port that the deploy file names for metrics; used where it is free for the hosts' own traffic.
+# Port of the metrics in the deployment file; used if it is in the range for the hosts' own traffic.
 METRICS_PORT = 7391
 
 
 def load_settings(environ: Mapping[str, str]) -> HostSettings | Failure:
-    """Read the file that the environment names; what is wrong with it is the failure's reason."""
+    """Read the file that the environment names; the failure's reason says what is wrong with it."""
     path = environ.get(PATH_VARIABLE, "")
     if not path:
         return Failure(Kind.BAD_REQUEST, f"{PATH_VARIABLE} is not set")
@@ -26,7 +26,7 @@
 
 
 def decode_settings(raw: Mapping[str, Any]) -> HostSettings:
-    """Return the settings; raises KeyError or ValueError for what is missing or wrong."""
+    """Return the settings; raises KeyError for a missing field and ValueError for a bad one."""
     listen = raw["listen"]
     return HostSettings(
         host=raw["node_name"],
@@ -47,7 +47,10 @@
 
 
 def decode_machine(raw: Mapping[str, Any]) -> dict[str, float]:
-    """Return what the machine can carry; "cores" is how fast its one share of a core runs."""
+    """Return the capacity of the machine's link and processor, empty where the file has none.
+
+    The result's ``cores`` is the file's ``cpu_share`` times its ``cores``.
+    """
     if "link_mbps" not in raw:
         return {}
     cores = float(raw.get("cpu_share", 1.0)) * float(raw.get("cores", 1))
@@ -55,17 +58,17 @@
 
 
 def decode_metrics(raw: Mapping[str, Any]) -> Address | None:
-    """Return where metrics are served, or None where the port is not free."""
+    """Return the address for metrics, or None if its port is outside the allowed range."""
     first, last = raw.get("inner_ports") or (0, -1)
     return Address(raw["ip"], METRICS_PORT) if first <= METRICS_PORT <= last else None
 
 
 def decode_bounds(raw: Mapping[str, Any]) -> Bounds:
-    """Return the bounds, in seconds where the file has milliseconds."""
+    """Return the bounds; milliseconds of the file become seconds."""
     return Bounds(
         drain=raw["drain_ms"] / 1000,
         config=raw["config_ms"] / 1000,
-        # The time from SIGTERM to SIGKILL.
+        # Seconds from SIGTERM to SIGKILL.
         stopping=float(raw["grace_s"]),
         retry_share=float(raw["budget_ratio"]),
         retry_extra=float(raw["budget_extra"]),
--- a/peridotdock/platform/store.py
+++ b/peridotdock/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows with versions, transactions, feeds and objects, over HTTP."""
+"""Client for the platform's store over HTTP: versioned rows, transactions, feeds and objects."""
 
 import asyncio
 import base64
@@ -18,13 +18,14 @@
 from peridotdock.metrics import Metrics
 from peridotdock.relay.settings import Address
 
-# The product's own rows; all stand in the empty part, so that one transaction can change several.
+# The table of the product's own rows; all are in the empty part, so that one transaction can change
+# several.
 OWN_TABLE = "peridotdock"
-# Tables that the operators and the endpoints write, and the row of the configuration.
+# The operators' table and the key of its configuration row, and the endpoints' table.
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
 ENDPOINT_TABLE = "servers"
-# Seconds for a call that the store does not hold back; it takes some milliseconds on a good day.
+# Seconds for a call that is not a long poll; it usually takes some milliseconds.
 CALL_TIMEOUT_SECONDS = 1.5
 TOMBSTONE_FIELD = "tombstone"
 READ_ERRORS = (LookupError, AttributeError, TypeError, ValueError, msgspec.DecodeError)
@@ -32,7 +33,7 @@
 
 
 class TableStore:
-    """The platform's store, as the product's one client of it."""
+    """The only client of the platform's store."""
 
     def __init__(self, address: Address, metrics: Metrics, time: StoreTime):
         self._url = f"http://{address}"
@@ -45,7 +46,7 @@
         await self._pool.close()
 
     def renew_connections(self) -> None:
-        """Take no kept connection again: a call on one of them may never be answered."""
+        """Stop reusing the present connections: a call on one of them may never be answered."""
         self._pool.renew()
 
     async def _call(
@@ -71,7 +72,7 @@
             return Failure(Kind.PLATFORM_DOWN, type(exc).__name__)
         except TRANSFER_ERRORS as exc:
             if isinstance(exc, asyncio.TimeoutError):
-                # The connection may have gone silent for good; the next call takes a new one.
+                # The connection may be dead but not closed; the next call opens a new one.
                 self._pool.renew()
             self._metrics.platform.labels(call, "lost").inc()
             return Failure(Kind.OUTCOME_UNKNOWN, type(exc).__name__)
@@ -79,7 +80,7 @@
         return resp.status, raw
 
     async def _fetch(self, path: str, seconds: float = CALL_TIMEOUT_SECONDS) -> Any | Failure:
-        """Return the decoded body of a read; a read that was lost is simply not done."""
+        """Return the decoded body of a read; a read whose answer was lost has no effect."""
         outcome = await self._call("GET", path, seconds=seconds)
         if failed(outcome):
             return Failure(Kind.PLATFORM_DOWN, outcome.reason)
@@ -94,7 +95,7 @@
             return Failure(Kind.PLATFORM_DOWN, f"bad body: {exc}")
 
     def _record_time(self, found: Mapping[str, Any], sent_at: float) -> None:
-        """Take in the store's time from an answer that it did not hold back."""
+        """Record the store's time from the answer to a call that is not a long poll."""
         now_ms = found.get("now_ms")
         if isinstance(now_ms, int):
             self._time.record(now_ms / 1000, sent_at)
@@ -102,10 +103,10 @@
     async def _read_pages(
         self, table: str, start: str = "", end: str = ""
     ) -> tuple[list[dict[str, Any]], int] | Failure:
-        """Read a range of keys, page by page; the version is that of the first page.
+        """Read a range of keys page by page; return its rows and the version of the first page.
 
-        Following a table from the first page's version gives every change that a later page may
-        have shown already, so nothing is missed.
+        Following the table from the first page's version misses no change: it repeats those that
+        later pages may already contain.
         """
         rows: list[dict[str, Any]] = []
         version = None
@@ -128,7 +129,7 @@
                 return Failure(Kind.PLATFORM_DOWN, f"bad page: {exc!r}")
 
     async def read_table(self, table: str) -> TableView | Failure:
-        """Read a whole table."""
+        """Read all rows of a table."""
         found = await self._read_pages(table)
         if failed(found):
             return found
@@ -232,7 +233,7 @@
         ]
 
     async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
-        """Write this host's row, whatever it says now: only this host writes it."""
+        """Overwrite this host's row without a version check: no other host writes it."""
         value = {"peer": peer, "leaving": draining}
         outcome = await self.commit(Transaction({}, {HOST_PREFIX + host: value}))
         return outcome if failed(outcome) else None
@@ -242,11 +243,11 @@
 
 
 def decode_value(row: Mapping[str, Any]) -> bytes:
-    """Return a row's bytes; of a value that can't be read, none.
+    """Return a row's value, empty if it can't be decoded.
 
-    Failure guarded against: one row of another writer is no base64, and each call that gives it
-    fails as a whole, so that nothing else in the table is seen any more. No bytes are neither a
-    configuration nor an entry, so the one who takes them refuses just this row.
+    Failure guarded against: a row of another writer is not base64, and every call that returns it
+    fails, so that no other row of the table can be read. An empty value is not a valid
+    configuration or entry, so its reader rejects just this row.
     """
     try:
         return base64.b64decode(row["value"])
@@ -255,7 +256,7 @@
 
 
 def decode_own_row(row: Mapping[str, Any]) -> dict[str, Any] | None:
-    """Return what one of the product's rows says, None when it can't be read."""
+    """Return the value of one of the product's rows, None when it can't be decoded."""
     try:
         value = json.loads(decode_value(row))
     except (ValueError, RecursionError):
@@ -264,10 +265,10 @@
 
 
 def own_row_key(key: str) -> dict[str, Any]:
-    """Return the address of one of the product's rows."""
+    """Return the table, part and key that address one of the product's rows."""
     return {"table": OWN_TABLE, "part": "", "key": key}
 
 
 def encode_value(value: Mapping[str, Any], tx_id: str) -> str:
-    """Return a row's value; the transaction's id in it tells after a conflict whose it is."""
+    """Return a row's value; the transaction's id in it identifies the writer after a conflict."""
     return base64.b64encode(json.dumps({**value, "write": tx_id}).encode()).decode()
--- a/peridotdock/platform/wire.py
+++ b/peridotdock/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers of the platform: callers' requests, sends to endpoints, answers of both."""
+"""Headers of the platform: requests of callers, requests to endpoints, and their answers."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -19,26 +19,26 @@
 DEADLINE_HEADER = "x-deadline-ms"
 RESUME_HEADER = "last-event-id"
 MODEL_HEADER = "x-model"
-# "PROMPT,OUTPUT": the tokens of the prompt and the most that may be generated.
+# "PROMPT,OUTPUT": the tokens of the prompt, and the maximum of tokens to generate.
 TOKENS_HEADER = "x-token-counts"
 PARTS_HEADER = "x-prompt-prefix"
 PRIORITY_HEADER = "x-request-priority"
-# Names an endpoint's incarnation: any other that has its address now refuses.
+# Id of the endpoint that the request is for: another one that now has its address refuses it.
 TARGET_HEADER = "x-target-instance"
-# Whatever its value, it says that the endpoint has not run the request.
+# Marks, whatever its value, a request that the endpoint has not run.
 NOT_RUN_HEADER = "x-not-executed"
-# The endpoint's proof that an answer is its own.
+# The signature by which an endpoint proves that an answer is its own.
 SIGNATURE_HEADER = "x-response-signature"
 RETRY_AFTER_HEADER = "retry-after"
-# The requests a second that an endpoint takes from all hosts together, a decimal number; an answer
-# without it says that there is no such limit now.
+# Limit of the requests a second that an endpoint accepts from all hosts together, as a decimal
+# number; an answer without it means that there is no limit now.
 RATE_LIMIT_HEADER = "server-limit"
-# "1" in all answers of an endpoint that leaves.
+# "1" in all answers of an endpoint that drains.
 DRAINING_HEADER = "server-leaving"
 DRAINING_VALUE = "1"
-# "Bearer KEY": the key of a caller's workspace, which endpoints never see.
+# "Bearer KEY": the key of a caller's workspace, which is never sent to endpoints.
 KEY_HEADER = "authorization"
-# The name of the workspace, which only a host may say.
+# Name of the workspace, which only hosts may set.
 WORKSPACE_HEADER = "x-tenant"
 
 HOP_BY_HOP = frozenset(
@@ -57,7 +57,7 @@
         "expect",
     }
 )
-# Headers with which a host steers an engine: a caller that sends them must not reach it.
+# Headers with which a host controls an engine; they are removed from callers' requests.
 ENGINE_CONTROL_HEADERS = frozenset(
     {
         "x-hold",
@@ -70,22 +70,22 @@
         TARGET_HEADER,
     }
 )
-# With which a caller says who it is.
+# Headers that identify the caller.
 IDENTITY_HEADERS = frozenset({KEY_HEADER, WORKSPACE_HEADER})
-# Written anew for each send.
+# Headers that are written anew for each send.
 REWRITTEN_HEADERS = frozenset({DEADLINE_HEADER, RESUME_HEADER})
-# Of an endpoint's answer, those that the server towards the caller writes itself, and the time
-# after which that endpoint takes requests again: another may take one at once.
+# Headers of an endpoint's answer that aren't relayed: those that the host's server writes itself,
+# and Retry-After, which holds for that endpoint only: another one may accept a request at once.
 SERVER_HEADERS = HOP_BY_HOP | {"date", "server", RETRY_AFTER_HEADER}
 MISDIRECTED = 421
 UNAVAILABLE = 503
 
 
 class PlatformWire:
-    """The platform's form of requests and answers."""
+    """Encodes and decodes the headers of the platform's requests and answers."""
 
     def read_request(self, headers: Iterable[tuple[bytes, bytes]]) -> RequestHead | Failure:
-        """Decode the head of a caller's request."""
+        """Decode the head of a caller's request; a bad one is a failure of kind bad_request."""
         rows = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in headers]
         named = dict(rows)
         connection_names = named.get("connection", "").lower().split(",")
@@ -114,7 +114,7 @@
             return Failure(Kind.BAD_REQUEST, str(exc))
 
     def write_send(self, req: RelayRequest, options: SendOptions) -> dict[str, str]:
-        """Return the headers of one send; the host name goes on as the caller sent it."""
+        """Return the headers of one send; the caller's host name is kept."""
         headers = dict(req.head.headers + req.identity.headers)
         if req.identity.workspace is not None:
             headers[WORKSPACE_HEADER] = req.identity.workspace.name
@@ -128,7 +128,7 @@
         return headers
 
     def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerHead:
-        """Decode the head of an endpoint's answer; a misdirected request was never run."""
+        """Decode the head of an endpoint's answer; a misdirected request was not run."""
         rows = [(name.lower(), value) for name, value in headers.items()]
         return AnswerHead(
             status=status,
@@ -148,7 +148,7 @@
     def write_refusal(
         self, attempt_id: str, retry_after: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer of our own; fractions of a second are understood."""
+        """Return the headers of a host's own answer; clients accept fractions in Retry-After."""
         headers = [(ATTEMPT_HEADER.encode(), attempt_id.encode("latin-1"))] if attempt_id else []
         if retry_after is not None:
             headers.append((RETRY_AFTER_HEADER.encode(), f"{retry_after:.3f}".encode()))
@@ -156,13 +156,13 @@
 
 
 def read_key(rows: Iterable[tuple[str, str]]) -> str:
-    """Return the digest of the key; several such headers name nobody."""
+    """Return the digest of the caller's key; NO_KEY unless there is exactly one such header."""
     found = [value for name, value in rows if name == KEY_HEADER]
     return read_bearer(found[0]) if len(found) == 1 else NO_KEY
 
 
 def count_tokens(text: str) -> int:
-    """Return the tokens of prompt and answer together; 0 where the header is missing or broken."""
+    """Return the tokens of prompt and answer together; 0 if the header is missing or invalid."""
     numbers = text.split(",")
     try:
         return max(0, sum(int(number) for number in numbers)) if len(numbers) == 2 else 0
@@ -171,7 +171,7 @@
 
 
 def read_rate(text: str | None) -> float | None:
-    """Return requests a second, infinite where none are named; None where it can't be read."""
+    """Return the requests a second, infinite without a header; None if it is invalid."""
     if text is None:
         return math.inf
     try:
@@ -182,7 +182,7 @@
 
 
 def read_deadline(text: str | None) -> float | None:
-    """Return seconds, or None where there is no value; raises ValueError for a bad one."""
+    """Return seconds from milliseconds, None without a value; raises ValueError for a bad one."""
     if text is None:
         return None
     value = float(text) / 1000
@@ -192,7 +192,7 @@
 
 
 def read_inference(named: Mapping[str, str]) -> InferenceSpec | None:
-    """Return the model work asked for; raises ValueError when a header can't be read."""
+    """Return the model, adapter and prompt, None without a model; raises ValueError if invalid."""
     if MODEL_HEADER not in named:
         return None
     model, _, adapter = named[MODEL_HEADER].partition("/")
@@ -209,7 +209,7 @@
 
 
 def read_part(text: str) -> PromptPart:
-    """Read ID:TOKENS; raises ValueError for anything else."""
+    """Decode ID:TOKENS; raises ValueError for anything else."""
     name, colon, tokens = text.strip().rpartition(":")
     if not colon:
         raise ValueError(f"{PARTS_HEADER}: {text!r} is not ID:TOKENS")
