--- a/peridotdock/platform/settings.py
+++ b/peridotdock/platform/settings.py
@@ -26,7 +26,7 @@
 
 
 def decode_settings(raw: Mapping[str, Any]) -> HostSettings:
-    """Return the settings; raises KeyError for a missing field and ValueError for a bad one."""
+    """Return the settings; raises KeyError for a missing field and ValueError for a wrong one."""
     listen = raw["listen"]
     return HostSettings(
         host=raw["node_name"],
--- a/peridotdock/schema/manifest.py
+++ b/peridotdock/schema/manifest.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True)
 class Deployment:
     """
-    What holds for the whole deployment.
+    Settings of the whole deployment.
     """
 
     name: str
@@ -18,18 +18,18 @@
     """
     move_price: float
     """
-    Engine seconds of unmet demand a second that a move must save to be worth it.
+    A move is made only if it saves more unmet demand than this, in engine seconds a second.
     """
     parallel_loads: int
     """
-    Loads that the weight store carries at full speed.
+    Number of concurrent loads that the weight store serves at full speed.
     """
 
 
 @dataclass(frozen=True)
 class Target:
     """
-    What an answer must keep to.
+    Latency targets of an answer.
     """
 
     first_token_ms: int
@@ -45,7 +45,7 @@
 @dataclass(frozen=True)
 class Caller:
     """
-    One caller and its limits over all hosts together.
+    One caller and its limits.
     """
 
     id: str
@@ -62,11 +62,11 @@
     """
     streams: int = 200
     """
-    Requests in work on one host at once.
+    Largest number of concurrent requests on one host.
     """
     priority: int = 5
     """
-    Highest class the caller may ask for; 9 goes first.
+    Highest priority that the caller may request; 9 is served first.
     """
 
 
@@ -82,14 +82,14 @@
     """
     bytes: int
     """
-    Memory that weights may take, KV cache already taken off.
+    Memory for weights, without that of the KV cache.
     """
 
 
 @dataclass(frozen=True)
 class Endpoint:
     """
-    One back end.
+    One back end: a model engine or a plain service.
     """
 
     id: str
@@ -98,7 +98,7 @@
     """
     url: str
     """
-    Address by IP number.
+    Base URL, with an IP address.
     """
     domain: str
     """
@@ -110,7 +110,7 @@
     """
     fencing: bool = False
     """
-    Whether the engine refuses an order with an old number.
+    Whether the engine refuses an order with an outdated number.
     """
     accelerators: list[Accelerator] = field(default_factory=list)
     """
@@ -126,7 +126,7 @@
 
     id: str
     """
-    Name that callers ask for.
+    Name that callers request.
     """
     version: str
     """
@@ -134,16 +134,16 @@
     """
     bytes: int
     """
-    Memory on each accelerator it spans.
+    Memory on each accelerator that a copy spans.
     """
     target: Target
     span: int = 1
     """
-    Accelerators that one copy spans.
+    Number of accelerators that one copy spans.
     """
     copies: int = 1
     """
-    Copies kept ready at all times.
+    Number of copies that are always kept ready.
     """
 
 
@@ -155,11 +155,11 @@
 
     id: str
     """
-    Name that callers ask for.
+    Name that callers request.
     """
     base: str
     """
-    Model it stands on.
+    Base model that the adapter extends.
     """
     version: str
     """
@@ -183,7 +183,7 @@
     """
     path: str
     """
-    Path within the service; a closing * stands for any rest.
+    Path within the service; a trailing * matches any suffix.
     """
 
 
@@ -199,7 +199,7 @@
     """
     endpoints: list[str]
     """
-    Endpoints that run it.
+    Endpoints that run the service.
     """
     repeatable: list[Repeatable] = field(default_factory=list)
     """
@@ -214,7 +214,7 @@
 @dataclass(frozen=True)
 class Manifest:
     """
-    What operators want to be true: models, adapters, targets, callers, endpoints and services.
+    The state that operators want: models, adapters, targets, callers, endpoints and services.
     """
 
     format: Literal[1]
@@ -236,7 +236,7 @@
     deployment: Deployment
     callers: list[Caller]
     """
-    Who may ask.
+    Callers that may send requests.
     """
     endpoints: list[Endpoint]
     """
--- a/peridotdock/schema/messages.py
+++ b/peridotdock/schema/messages.py
@@ -9,14 +9,14 @@
 @dataclass(frozen=True)
 class Messages:
     """
-    Frames between hosts: one CBOR map a frame, told apart by kind. A receiver passes over fields it does not know.
+    Frames between hosts: one CBOR map per frame, distinguished by kind. A receiver ignores unknown fields.
     """
 
 
 @dataclass(frozen=True)
 class Hello:
     """
-    First frame in each direction. proof is an HMAC-SHA256 over the other side's nonce; it is empty in the first frame of the accepting side.
+    First frame in each direction. proof is an HMAC-SHA256 over the peer's nonce; it is empty in the first frame of the accepting side.
     """
 
     kind: Literal['hello']
@@ -26,11 +26,11 @@
     """
     incarnation: str
     """
-    Life of the sending host.
+    Incarnation of the sending host.
     """
     nonce: bytes
     """
-    Fresh random bytes that the other side must sign.
+    Fresh random bytes that the peer must sign.
     """
     proof: bytes
     """
@@ -45,49 +45,49 @@
 @dataclass(frozen=True)
 class Entry:
     """
-    One versioned fact of one origin. The pair (epoch, version) only grows for an origin and topic.
+    One versioned fact of one origin. The pair (epoch, version) increases with every new fact of an origin and topic.
     """
 
     origin: str
     """
-    Host that states the fact.
+    Host that published the fact.
     """
     topic: str
     """
-    Which fact: host, links, load, held, ledger, demand, heads, work, wants, orders or loads.
+    Topic of the fact: host, links, load, held, ledger, demand, heads, work, wants, orders or loads.
     """
     epoch: int
     """
-    Start time of the origin's life in milliseconds since 1970.
+    Start time of the origin's incarnation in Unix milliseconds.
     """
     version: int
     """
-    Counter within that life.
+    Counter within that incarnation.
     """
     body: bytes
     """
-    CBOR of the topic's own type.
+    CBOR of the topic's type.
     """
     age: int = 0
     """
-    Milliseconds since the sender heard the fact, and those before it.
+    Age of the fact in milliseconds: since the sender received it, plus its age at that time.
     """
     deflated: bool = False
     """
-    Whether the body is deflated (zlib).
+    Whether the body is compressed with zlib.
     """
 
 
 @dataclass(frozen=True)
 class Update:
     """
-    Facts the receiver may not have yet.
+    Facts that the receiver may not have yet.
     """
 
     kind: Literal['update']
     entries: list[Entry]
     """
-    At most 4096 a frame.
+    At most 4096 per frame.
     """
     stamp: int = 0
     """
@@ -98,7 +98,7 @@
 @dataclass(frozen=True)
 class Ping:
     """
-    Heartbeat; a side that has heard nothing for three periods closes the connection.
+    Heartbeat; a side that has received nothing for three periods closes the connection.
     """
 
     kind: Literal['ping']
@@ -115,7 +115,7 @@
 @dataclass(frozen=True)
 class Fetch:
     """
-    Asks for a manifest body by digest, when the object store cannot give it.
+    Request for a manifest body by digest, when it can't be read from the object store.
     """
 
     kind: Literal['fetch']
@@ -134,18 +134,18 @@
     kind: Literal['body']
     digest: str
     """
-    Digest asked for.
+    Requested digest.
     """
     body: bytes
     """
-    Canonical JSON, or empty when not known.
+    Canonical JSON, or empty when unknown.
     """
 
 
 @dataclass(frozen=True)
 class Rows:
     """
-    What one host read of a table of the platform's store, for those that need not ask then.
+    Rows that one host read from a table of the platform's store, so that other hosts need not read them.
     """
 
     kind: Literal['rows']
@@ -155,19 +155,19 @@
     """
     origin: str
     """
-    Life of the host that read it.
+    Incarnation of the host that read it.
     """
     beat: int
     """
-    Counter of the origin's frames on the table; an older one is passed over.
+    Counter of the origin's frames on the table; older frames are ignored.
     """
     after: int
     """
-    Version of the store from which on changes are given.
+    Version of the store after which the changes were made.
     """
     version: int
     """
-    Version of the store up to which they are given.
+    Version of the store up to which changes are included.
     """
     values: dict[str, bytes | None] = field(default_factory=dict)
     """
@@ -175,34 +175,34 @@
     """
     changed: bool = False
     """
-    There are changes that are not given here: to be read from the store.
+    Whether there are changes that this frame leaves out; they are to be read from the store.
     """
     whole: bool = False
     """
-    The values are the whole table: a row that is missing is gone.
+    Whether the values are the whole table; a missing row has been removed.
     """
     age: int = 0
     """
-    Milliseconds since the origin knew its view to be as the store's, and those on the way.
+    Milliseconds since the origin's view matched the store's, including the time in transit.
     """
     direct: bool = False
     """
-    An answer to the host that asked for it: not to be passed on.
+    Whether the frame answers a request of the receiving host; it is not forwarded.
     """
     lost: bool = False
     """
-    The origin's last call on the table was lost: others are to ask for themselves.
+    Whether the origin's last call for the table was lost; other hosts are to read it themselves.
     """
     deflated: list[str] = field(default_factory=list)
     """
-    Keys whose values are deflated (zlib).
+    Keys whose values are compressed with zlib.
     """
 
 
 @dataclass(frozen=True)
 class RowsWanted:
     """
-    Asks a host for a whole table that the platform's store does not give the asking one.
+    Request for a whole table that the requesting host can't read from the platform's store.
     """
 
     kind: Literal['rows_wanted']
@@ -212,20 +212,20 @@
     """
     after: int
     """
-    Version that the asking host has; there is no answer without a newer one.
+    Version that the requesting host has; only a newer one is answered.
     """
 
 
 @dataclass(frozen=True)
 class GrantWanted:
     """
-    Asks the host that paces prompts when one may be sent, and to which endpoint.
+    Request to the host that paces prompts: when a prompt may be sent, and to which endpoint.
     """
 
     kind: Literal['grant_wanted']
     number: int
     """
-    The asking host's number for the prompt.
+    The requesting host's number of the prompt.
     """
     service: str
     """
@@ -233,7 +233,7 @@
     """
     model: str
     """
-    Model that is asked for.
+    Requested model.
     """
     adapter: str
     """
@@ -253,15 +253,15 @@
     """
     rank: int
     """
-    Rank of the route; 0 comes first.
+    Rank of the route; 0 is the highest.
     """
     spare: int
     """
-    Milliseconds within which the first token is due; below 0 it is late already.
+    Milliseconds until the first token is due; below 0 it is already late.
     """
     stays: int
     """
-    Milliseconds for which the caller stays without one.
+    Milliseconds for which the caller waits for the first token before it disconnects.
     """
     avoid: list[str] = field(default_factory=list)
     """
@@ -272,13 +272,13 @@
 @dataclass(frozen=True)
 class Grant:
     """
-    Answers a host that wants to send a prompt: to which endpoint, or that it waits or is turned away.
+    Reply on a prompt: the endpoint to send it to, or that it is queued or rejected.
     """
 
     kind: Literal['grant']
     number: int
     """
-    The asking host's number for the prompt.
+    The requesting host's number of the prompt.
     """
     endpoint: str
     """
@@ -286,31 +286,31 @@
     """
     wait: int
     """
-    Milliseconds that the prompt would wait, longer than its caller stays; 0 when it is queued or granted.
+    Milliseconds that a rejected prompt would wait, longer than its caller stays; 0 when it is queued or granted.
     """
     ahead: int = 0
     """
-    Milliseconds for which the endpoint reads other prompts before this one.
+    Milliseconds for which the endpoint prefills other prompts before this one.
     """
 
 
 @dataclass(frozen=True)
 class GrantDropped:
     """
-    Tells that a prompt is not waited for any more.
+    Notice that a prompt is no longer waiting.
     """
 
     kind: Literal['grant_dropped']
     number: int
     """
-    The asking host's number for the prompt.
+    The requesting host's number of the prompt.
     """
 
 
 @dataclass(frozen=True)
 class HostFact:
     """
-    Body of topic host: who the origin is and whether it takes new work.
+    Body of topic host: identity and addresses of the origin, and whether it accepts new requests.
     """
 
     host: str
@@ -319,7 +319,7 @@
     """
     incarnation: str
     """
-    Life of the host.
+    Incarnation of the host.
     """
     domain: str
     """
@@ -335,7 +335,7 @@
     """
     state: Literal['starting', 'live', 'leaving', 'gone']
     """
-    Where in its life the host is.
+    State of the host.
     """
     beat: int
     """
@@ -343,14 +343,14 @@
     """
     power: int = 0
     """
-    1 where the origin has the link and the processor to pass facts on to all others, else 0.
+    1 if the origin has the link and processor capacity to forward facts to all other hosts, else 0.
     """
 
 
 @dataclass(frozen=True)
 class LoadFact:
     """
-    Body of topic load: packed columns, one element for each endpoint the origin watches.
+    Body of topic load: packed columns, one element for each endpoint that the origin watches.
     """
 
     endpoints: list[str]
@@ -390,7 +390,7 @@
 @dataclass(frozen=True)
 class HeldFact:
     """
-    Body of topic held: what each watched endpoint can serve now, by its own word.
+    Body of topic held: what each watched endpoint reports that it can serve now.
     """
 
     held: dict[str, list[str]]
@@ -403,18 +403,18 @@
     """
     leaving: list[str]
     """
-    Watched endpoints that said they leave.
+    Watched endpoints that announced that they drain.
     """
     boots: dict[str, str] = field(default_factory=dict)
     """
-    What each watched endpoint that answers calls its present start.
+    Identifier that each watched endpoint that answers reports for its present incarnation.
     """
 
 
 @dataclass(frozen=True)
 class HeadsFact:
     """
-    Body of topic heads: newest accepted manifest the origin has in force.
+    Body of topic heads: newest accepted manifest that the origin has in force.
     """
 
     generation: int
@@ -427,14 +427,14 @@
     """
     plan: int = 0
     """
-    Newest plan the origin knows of.
+    Newest plan that the origin has.
     """
 
 
 @dataclass(frozen=True)
 class Loan:
     """
-    Part of a caller's limit lent to another host, bound to a heartbeat of that host.
+    Part of a caller's limit that is lent to another host, from one heartbeat of that host on.
     """
 
     caller: str
@@ -451,7 +451,7 @@
     """
     beat: int
     """
-    Heartbeat of the borrower from which the loan's time counts.
+    Heartbeat of the borrower at which the loan's time starts.
     """
 
 
@@ -475,14 +475,14 @@
     """
     places: list[int]
     """
-    Accelerators, by their place in the manifest.
+    Accelerators, by their index in the manifest.
     """
 
 
 @dataclass(frozen=True)
 class LinksFact:
     """
-    Body of topic links: the hosts the origin has a link to.
+    Body of topic links: the hosts to which the origin has a link.
     """
 
     peers: list[str]
@@ -494,33 +494,33 @@
 @dataclass(frozen=True)
 class WorkFact:
     """
-    Body of topic work: packed columns of what the origin has on endpoints, one element an endpoint.
+    Body of topic work: packed columns of the origin's requests in progress, one element per endpoint.
     """
 
     endpoints: list[str]
     """
-    Incarnations of the endpoints; those on which the origin has nothing are left out.
+    Ids of the endpoints; those without requests of the origin are left out.
     """
     running: bytes
     """
-    Requests there, unsigned 16 bits.
+    Requests on each endpoint, unsigned 16 bits.
     """
     tokens: bytes
     """
-    Prompt tokens sent there and not read yet, unsigned 32 bits.
+    Prompt tokens sent to each endpoint and not yet prefilled, unsigned 32 bits.
     """
 
 
 @dataclass(frozen=True)
 class QuotaWanted:
     """
-    Asks the hub whether a request may be served by its workspace's quota.
+    Request to the hub: whether the workspace's quota allows a request.
     """
 
     kind: Literal['quota_wanted']
     number: int
     """
-    The asking host's number for the question.
+    The requesting host's number of this call.
     """
     workspace: str
     """
@@ -528,31 +528,31 @@
     """
     cost: int
     """
-    Units of its quota that the request takes.
+    Units of the quota that the request uses.
     """
 
 
 @dataclass(frozen=True)
 class QuotaGiven:
     """
-    The hub's answer on a quota.
+    The hub's reply on a quota.
     """
 
     kind: Literal['quota_given']
     number: int
     """
-    The asking host's number for the question.
+    The requesting host's number of this call.
     """
     wait: int
     """
-    Milliseconds after which the request may come back; 0 when it may be served.
+    Milliseconds after which the request may be retried; 0 when it may be served now.
     """
 
 
 @dataclass(frozen=True)
 class UsageFact:
     """
-    Body of topic usage: units of quotas that the origin has used without the hub's word, by workspace.
+    Body of topic usage: units of quotas that the origin has used without a reply of the hub, by workspace.
     """
 
     totals: dict[str, int]
@@ -561,31 +561,31 @@
     """
     since: dict[str, int]
     """
-    Units since the last word of a hub.
+    Units since the last reply of a hub.
     """
 
 
 @dataclass(frozen=True)
 class QuotasFact:
     """
-    Body of topic quotas: what the hub finds left of the quotas that are low.
+    Body of topic quotas: units left of the quotas that are low, as counted by the hub.
     """
 
     low: dict[str, int]
     """
-    Units left by workspace; below 0 more was used than there was.
+    Units left by workspace; below 0 if more than the quota was used.
     """
 
 
 @dataclass(frozen=True)
 class LeaseFact:
     """
-    Body of topic lease: the origin has just taken or renewed the lease.
+    Body of topic lease: the origin has just acquired or renewed the lease.
     """
 
     term: int
     """
-    Number of the lease's present holder.
+    Fencing number of the lease's present holder.
     """
     version: int
     """
@@ -596,12 +596,12 @@
 @dataclass(frozen=True)
 class RunsFact:
     """
-    Body of topic runs: requests of the origin by endpoint and item, one element of each column a pair.
+    Body of topic runs: requests of the origin in columns, one element per pair of endpoint and item.
     """
 
     endpoints: list[str]
     """
-    Incarnations of the endpoints.
+    Ids of the endpoints.
     """
     items: list[str]
     """
@@ -609,11 +609,11 @@
     """
     at: bytes
     """
-    Place of the pair's endpoint in endpoints, unsigned 16 bits.
+    Index of the pair's endpoint in endpoints, unsigned 16 bits.
     """
     what: bytes
     """
-    Place of the pair's item in items, unsigned 16 bits.
+    Index of the pair's item in items, unsigned 16 bits.
     """
     running: bytes
     """
@@ -624,27 +624,27 @@
 @dataclass(frozen=True)
 class WantsFact:
     """
-    Body of topic wants: models and adapters that requests on the origin wait for now.
+    Body of topic wants: models and adapters for which requests on the origin wait now.
     """
 
     items: dict[str, int]
     """
-    Waiting requests by item; an adapter's name stands behind its model's and a slash.
+    Waiting requests by item; an adapter is MODEL/NAME.
     """
     down: list[str] = field(default_factory=list)
     """
-    Endpoints to which the origin could make no connection lately, or that lacked what they were said to hold.
+    Endpoints to which the origin recently could not connect, or that lacked an item that they should have had loaded.
     """
     queued: dict[str, int] = field(default_factory=dict)
     """
-    Prompt tokens by model that the origin, as the hub, holds back from engines, over some seconds.
+    Prompt tokens by model that the origin, as the hub, has queued before engines, averaged over some seconds.
     """
 
 
 @dataclass(frozen=True)
 class EngineNews:
     """
-    What the host that orders an engine knows of it before the engine's own entry shows it.
+    State of an engine that its ordering host has before the engine's own entry shows it.
     """
 
     endpoint: str
@@ -657,22 +657,22 @@
     """
     dropping: list[str]
     """
-    Models that are being unloaded and take no new work.
+    Models that are being unloaded and accept no new requests.
     """
     coming: dict[str, float]
     """
-    Seconds until a model that is being loaded can serve, from when this was sent.
+    Seconds until a model that is being loaded can serve, counted from the sending of this update.
     """
     born: int = 0
     """
-    Unix milliseconds of the start that the news is of; 0 where the engine does not say.
+    Start time of the engine's incarnation in Unix milliseconds; 0 if the engine does not report it.
     """
 
 
 @dataclass(frozen=True)
 class OrdersFact:
     """
-    Body of topic orders: the host that orders engines, by which right, and what its orders changed.
+    Body of topic orders: the fencing number of the host that orders engines, and the changes by its orders.
     """
 
     term: int
@@ -681,11 +681,11 @@
     """
     engines: list[EngineNews]
     """
-    Engines with news.
+    Engines with updates.
     """
     resigned: int = 0
     """
-    Fencing number under which the origin has stopped to order for good; 0 while it orders.
+    Fencing number under which the origin has permanently stopped ordering; 0 while it orders.
     """
     wait: float = 0
     """
@@ -697,14 +697,14 @@
     """
     loads: dict[str, list[float]] = field(default_factory=dict)
     """
-    Seconds since each load from the weight store that still counts, by service.
+    Seconds since each load from the weight store that still counts against the load limit, by service.
     """
 
 
 @dataclass(frozen=True)
 class EndpointEnd:
     """
-    The end of one start of an endpoint, and the requests that it had just begun.
+    The end of one incarnation of an endpoint, and the requests that it had just started.
     """
 
     endpoint: str
@@ -713,11 +713,11 @@
     """
     start: str
     """
-    What tells the start that ended from others of the endpoint; empty where it does not say.
+    Identifier of the incarnation that ended; empty if the endpoint does not report one.
     """
     age: float
     """
-    Seconds since it was seen to end, from when this was sent.
+    Seconds from the detection of the end to the sending of this fact.
     """
     contents: list[str]
     """
@@ -728,29 +728,29 @@
 @dataclass(frozen=True)
 class EndsFact:
     """
-    Body of topic ends: endpoints that the origin saw end, and requests that were answered since.
+    Body of topic ends: ends of endpoints that the origin detected, and requests that were answered since.
     """
 
     ends: list[EndpointEnd]
     """
-    The newest ends; as the holder of the lease, also those under all blocked requests.
+    The newest ends; those of the lease holder include the ends behind all blocked requests.
     """
     answered: dict[str, float]
     """
-    Seconds since a request that was at an end was answered, by content id.
+    Seconds since a request that was in progress at an end was answered, by content id.
     """
 
 
 @dataclass(frozen=True)
 class PermitWanted:
     """
-    Asks the hub whether a request may go to an endpoint that has named a limit.
+    Request to the hub: whether a request may be sent to an endpoint that has announced a limit.
     """
 
     kind: Literal['permit_wanted']
     number: int
     """
-    The asking host's number for the question.
+    The requesting host's number of this call.
     """
     endpoint: str
     """
@@ -765,13 +765,13 @@
 @dataclass(frozen=True)
 class PermitGiven:
     """
-    The hub's answer on a permit.
+    The hub's reply on a permit.
     """
 
     kind: Literal['permit_given']
     number: int
     """
-    The asking host's number for the question.
+    The requesting host's number of this call.
     """
     given: bool
     """
@@ -779,14 +779,14 @@
     """
     wait: int
     """
-    Milliseconds until it may be sent, or where it may not, until there is a permit.
+    Milliseconds until the request may be sent, or if it is denied, until there is a permit.
     """
 
 
 @dataclass(frozen=True)
 class EndpointWord:
     """
-    What an endpoint said of itself in its answers.
+    Limit and draining state that an endpoint announced in its answers.
     """
 
     endpoint: str
@@ -795,38 +795,38 @@
     """
     born: int
     """
-    Unix milliseconds of the start that said so, 0 when unknown.
+    Start time of the announcing incarnation in Unix milliseconds, 0 when unknown.
     """
     rate: float
     """
-    Requests a second that it takes from all hosts together; infinite where it names no limit any more.
+    Requests a second that the endpoint accepts from all hosts together; infinite if it no longer announces a limit.
     """
     age: int
     """
-    Milliseconds before this fact was made at which the endpoint said so.
+    Milliseconds from the announcement to the creation of this fact.
     """
     leaving: bool = False
     """
-    Whether it said that it leaves, at any time.
+    Whether the endpoint has ever announced that it drains.
     """
 
 
 @dataclass(frozen=True)
 class WordsFact:
     """
-    Body of topics heard_words and words: what endpoints said, as the origin heard it, and as the hub heard it of all hosts.
+    Body of topics heard_words and words: announcements of endpoints, as received by the origin, and as collected by the hub from all hosts.
     """
 
     rows: list[EndpointWord]
     """
-    One row an endpoint.
+    One row per endpoint.
     """
 
 
 @dataclass(frozen=True)
 class LedgerFact:
     """
-    Body of topic ledger: reservations on the endpoints the origin is controller of.
+    Body of topic ledger: reservations on the endpoints that the origin controls.
     """
 
     rows: dict[str, list[Reserved]]
@@ -838,22 +838,22 @@
 @dataclass(frozen=True)
 class DemandFact:
     """
-    Body of topic demand: what callers asked of the origin, smoothed.
+    Body of topic demand: smoothed demand of callers on the origin.
     """
 
     rates: dict[str, float]
     """
-    Engine seconds asked for each second, by model or adapter.
+    Engine seconds requested a second, by model or adapter.
     """
     usage: dict[str, float]
     """
-    Requests a second offered, by caller.
+    Requests a second received, by caller.
     """
     loans: list[Loan]
     """
-    What the origin lends now.
+    Loans that the origin has granted at present.
     """
     recent: dict[str, float] = field(default_factory=dict)
     """
-    As rates, but of the last seconds alone, without a held peak.
+    As rates, but over the last seconds only, without a held peak.
     """
--- a/peridotdock/schema/settings.py
+++ b/peridotdock/schema/settings.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True)
 class Settings:
     """
-    Settings of one peridotdockd process. Each is a flag and a PERIDOTDOCK_ variable.
+    Settings of one peridotdockd process. Each is an option and a PERIDOTDOCK_ variable.
     """
 
     host_id: str
@@ -18,7 +18,7 @@
     """
     domain: str
     """
-    Failure domain in which this host stands.
+    Failure domain of this host.
     """
     platform_url: str
     """
@@ -26,27 +26,27 @@
     """
     cluster_key: str
     """
-    Secret shared by all hosts; peers that cannot prove it are refused.
+    Secret shared by all hosts; peers that can't prove that they have it are refused.
     """
     operator_token: str = ''
     """
-    Bearer token that operators present. Empty: operators' calls are refused.
+    Bearer token of operators. If it is empty, operators' calls are refused.
     """
     entry_ip: str = '127.0.0.1'
     """
-    IP number on which callers are served.
+    IP address on which callers are served.
     """
     entry_port: int = 0
     """
-    TCP port for callers; 0 takes a free one.
+    TCP port for callers; 0 selects a free one.
     """
     peer_ip: str = '127.0.0.1'
     """
-    IP number on which the other hosts connect.
+    IP address on which the other hosts connect.
     """
     peer_port: int = 0
     """
-    TCP port for the other hosts; 0 takes a free one.
+    TCP port for the other hosts; 0 selects a free one.
     """
     seeds: str = ''
     """
@@ -58,7 +58,7 @@
     """
     lease_seconds: float = 6.0
     """
-    Time after which a silent holder's lease has lapsed, in seconds.
+    Time without a renewal after which a lease has lapsed, in seconds.
     """
     poll_seconds: float = 1.0
     """
@@ -70,15 +70,15 @@
     """
     lateness_seconds: float = 30.0
     """
-    Longest time an order that was sent may take to act on an endpoint that ignores fencing, in seconds.
+    Longest time until an order that was sent takes effect on an endpoint that ignores fencing, in seconds.
     """
     silence_seconds: float = 2.0
     """
-    Time without a byte after which a connection is probed by a fresh one, in seconds.
+    Time without a byte after which a request is probed over a new connection, in seconds.
     """
     address_seconds: float = 5.0
     """
-    Time to live of an answer to which address to use, in seconds.
+    Time to live of an answer that lists the addresses for callers, in seconds.
     """
     stop_seconds: float = 120.0
     """
@@ -90,7 +90,7 @@
     """
     max_requests: int = 2000
     """
-    Largest number of requests in work on this host at once.
+    Largest number of concurrent requests on this host.
     """
     max_keys: int = 20000
     """
@@ -98,7 +98,7 @@
     """
     event_ring: int = 5000
     """
-    Number of events kept for the time line.
+    Number of events kept in the timeline.
     """
     policy: str = ''
     """
--- a/tests/relay/test_adapter.py
+++ b/tests/relay/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's documents and headers, decoded and written; bad ones refused with a reason."""
+"""Decoding and encoding of the platform's documents and headers, and rejection of bad ones."""
 
 import json
 import tempfile
@@ -182,10 +182,10 @@
 
     @params("x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "kv-fetch", "x-request-priority")
     def test_a_callers_engine_control_headers_are_dropped(self, name):
-        """A caller's request arrives with another caller's reserved memory.
+        """A caller uses another caller's reserved memory.
 
-        It sends a header with which hosts steer engines, and the host passes it on unread. The
-        engine then takes the caller's word for the host's.
+        The caller sends a header with which hosts control engines. If the host relays it, the
+        engine treats it as an instruction of the host.
         """
         found = self.wire.read_request(head(**{name.replace("-", "_"): "7", "x_other": "kept"}))
         names = [key for key, _ in found.headers]
--- a/tests/relay/test_store_time.py
+++ b/tests/relay/test_store_time.py
@@ -1,4 +1,4 @@
-"""What a host knows of the store's clock."""
+"""A host's bounds on the store's clock."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
 class ClientTest(unittest.TestCase):
     @params("read", "write")
     def test_each_answer_of_the_store_sets_its_time(self, call):
-        """A lost holder's lease is waited for too long, as no answer's time is read."""
+        """Hosts wait too long for the lease of a lost holder if no answer's time is recorded."""
 
         async def play():
             standin = await TableStandin().start()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command: commands and what they print and return."""
+"""The operators' command-line tool: the output and exit status of its subcommands."""
 
 import asyncio
 import io
@@ -23,7 +23,7 @@
 
 
 def invoke(*args, terminal=False, environ=None):
-    """Run the command in this process; return its status, output and errors."""
+    """Run the command in this process; return its exit status, output and error output."""
     out, err = Terminal() if terminal else io.StringIO(), io.StringIO()
     status = run(args, Environment(Streams(out, err), environ or {}))
     return status, out.getvalue(), err.getvalue()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The contract of the platform, for the fake and for the HTTP adapter, with its faults."""
+"""The platform client: one contract for the fake and the HTTP adapter, and their faults."""
 
 import asyncio
 import unittest
@@ -20,7 +20,7 @@
 
 
 class Contract:
-    """What every platform must do; run for each below."""
+    """Tests that every platform client must pass; run for each subclass."""
 
     async def test_a_write_is_read_back(self):
         await self.platform.commit(Transaction({"a": 0}, {"a": {"n": 1}}))
@@ -82,8 +82,8 @@
 
     async def test_silence_is_unknown_and_a_new_connection_is_taken_after_it(self):
         """
-        The connection goes silent. The write's outcome is unknown, and later calls must not be
-        put on the same dead connections.
+        The platform stops answering on an open connection. The write's outcome is unknown, and
+        later calls must not reuse the dead connections.
         """
         self.standin.faults["hang"] = True
         outcome = await self.platform.commit(Transaction({"a": 0}, {"a": {}}))
@@ -104,7 +104,7 @@
 
 
 class LostAnswers(unittest.TestCase):
-    """``commit_surely`` against every short series of faults: what it says is true."""
+    """The outcome of ``commit_and_resolve`` is right after each short series of faults."""
 
     @params(
         (["ok"], Committed),
@@ -145,8 +145,8 @@
 
     async def test_a_lease_counts_from_before_the_renewal_was_sent(self):
         """
-        The renewal takes long. A holder that counted from the answer would act after the others
-        may already have taken over.
+        The answer to a renewal takes 5 s. A holder that counts its lease from the answer would
+        still act when other hosts may already have taken over.
         """
 
         async def slow_commit(tx):
@@ -171,8 +171,8 @@
 
     async def test_a_renewal_between_read_and_write_stops_a_take_over(self):
         """
-        A holder was paused until just before others take over, then renews. The take-over was
-        decided on the old row; its transaction must fail.
+        A paused holder resumes and renews its lease just before another host takes over. The
+        take-over was decided on the old row, so its transaction must fail.
         """
         await self.lease.renew(self.platform)
         await self.update_leases()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes and real signals. Waits end on what is seen, never on a margin of time."""
+"""Real processes and real signals. Waits end on observed states, not after fixed times."""
 
 import json
 import signal
@@ -20,7 +20,7 @@
     deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"{what} did not come true")
+            raise AssertionError(f"{what}: timed out")
         time.sleep(0.05)
 
 
@@ -53,8 +53,8 @@
 
     def test_1_a_killed_host_is_noticed_and_its_engines_get_another_controller(self):
         """
-        A host is killed outright. The other one goes on answering, sees it silent, and becomes
-        controller of every engine once the dead one's lease has lapsed.
+        A host gets SIGKILL. The other host still answers requests, detects that the first one is
+        silent, and becomes controller of every engine once the lease of the first has lapsed.
         """
         first, second = self.deployment.hosts["host-0"], self.deployment.hosts["host-1"]
         first.signal(signal.SIGKILL)
@@ -72,8 +72,8 @@
 
     def test_2_a_frozen_engine_costs_no_answer(self):
         """
-        An engine's process is frozen: its connections stay open and say nothing. Requests are
-        answered by the other engine; when it thaws it serves again.
+        An engine's process gets SIGSTOP, so its connections stay open but silent. Requests are
+        answered by the other engine; after SIGCONT the first one serves again.
         """
         host = self.deployment.hosts["host-1"]
         engine = self.deployment.engines["engine-0"]
@@ -91,8 +91,8 @@
 
     def test_3_sigterm_twice_ends_a_stream_whole_and_exits_with_0(self):
         """
-        A host gets SIGTERM with an answer under way, and an impatient operator sends it again.
-        The answer still ends whole, and the host exits with 0.
+        A host gets SIGTERM twice while it streams an answer. The answer must still be complete,
+        and the host must exit with status 0.
         """
         host = self.deployment.hosts["host-0"]
         found = []
