--- a/peridotdock/clients/store_time.py
+++ b/peridotdock/clients/store_time.py
@@ -1,38 +1,45 @@
-"""What a host knows of the clock of the platform's store, which its answers tell."""
+"""Bounds on the clock of the platform's store, estimated from the times in its answers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Seconds up to which an answer may round the store's time down.
-ROUNDING = 0.001
+# Seconds by which an answer may round the store's time down.
+ROUNDING_SECONDS = 0.001
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A time that the store told, and the host's own when it asked and when it heard."""
+class TimeSample:
+    """The store's time in an answer, and the host's time at the request and at the answer."""
 
     seconds: float
-    asked_at: float
-    heard_at: float
+    sent_at: float
+    received_at: float
 
 
 class StoreTime:
-    """Bounds on the store's time now. ``clock`` is the host's own, suspensions included."""
+    """Bounds on the store's present time.
+
+    ``clock`` is the host's own clock in seconds; it must advance while the host is suspended.
+    """
 
     def __init__(self, clock: Callable[[], float]):
         self.clock = clock
-        self._told: Told | None = None
+        self._sample: TimeSample | None = None
 
-    def note(self, seconds: float, asked_at: float) -> None:
-        """Take in the time of an answer to a call that was begun at ``asked_at``."""
-        self._told = Told(seconds, asked_at, self.clock())
+    def record(self, seconds: float, sent_at: float) -> None:
+        """Record the store's time, in seconds, from the answer to a call sent at ``sent_at``."""
+        self._sample = TimeSample(seconds, sent_at, self.clock())
 
     def earliest(self) -> float | None:
-        """Return the least that the store's time can be now, None before its first answer."""
-        told = self._told
-        return None if told is None else told.seconds + self.clock() - told.heard_at
+        """Return the lower bound of the store's time now; None before its first answer."""
+        sample = self._sample
+        return None if sample is None else sample.seconds + self.clock() - sample.received_at
 
     def latest(self) -> float | None:
-        """Return the most that the store's time can be now, None before its first answer."""
-        told = self._told
-        return None if told is None else told.seconds + ROUNDING + self.clock() - told.asked_at
+        """Return the upper bound of the store's time now; None before its first answer."""
+        sample = self._sample
+        return (
+            None
+            if sample is None
+            else sample.seconds + ROUNDING_SECONDS + self.clock() - sample.sent_at
+        )
--- a/peridotdock/output/formats.py
+++ b/peridotdock/output/formats.py
@@ -1,11 +1,11 @@
-"""Rows as text: a table for a person, JSON for a program."""
+"""Formatting of rows: a table for people, JSON for programs."""
 
 import json
 from collections.abc import Sequence
 from typing import Any
 
-GAP = "  "
-MAX_CELL = 60
+COLUMN_GAP = "  "
+MAX_CELL_CHARS = 60
 
 
 def format_json(document: Any) -> str:
@@ -16,15 +16,15 @@
 
 
 def format_cell(value: Any) -> str:
-    """Return a value as a person reads it, cut where it is long."""
+    """Return a value as text for a table, truncated to ``MAX_CELL_CHARS``."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     text = str(value)
-    return text if len(text) <= MAX_CELL else text[: MAX_CELL - 1] + "…"
+    return text if len(text) <= MAX_CELL_CHARS else text[: MAX_CELL_CHARS - 1] + "…"
 
 
 def format_table(rows: Sequence[dict[str, Any]]) -> str:
-    """Return rows under their column names; numbers stand to the right."""
+    """Return rows as a table with column names; columns of numbers are right-aligned."""
     if not rows:
         return "(nothing)"
     names = list(rows[0])
@@ -33,7 +33,7 @@
     numeric = [all(is_number(row.get(name)) for row in rows) for name in names]
     lines = [names, *cells]
     return "\n".join(
-        GAP.join(
+        COLUMN_GAP.join(
             cell.rjust(width) if right else cell.ljust(width)
             for cell, width, right in zip(line, widths, numeric, strict=True)
         ).rstrip()
@@ -42,5 +42,5 @@
 
 
 def is_number(value: Any) -> bool:
-    """Tell whether a value is a number to a person."""
+    """Return whether a value is a number and not a bool."""
     return isinstance(value, int | float) and not isinstance(value, bool)
--- a/peridotdock/platform/endpoints.py
+++ b/peridotdock/platform/endpoints.py
@@ -1,8 +1,9 @@
-"""What endpoints say of themselves, decoded strictly: their entries in the store, their reports.
+"""Strict decoding of endpoints' entries in the store and of engines' reports.
 
-Load pattern: another writer overwrites an entry, with fields missing or of another type. Taken in
-part, it would send requests to a place that is none, or stop a host that reads on in it. So an
-entry counts only when every field that endpoints always write is there with its type.
+Failure guarded against: another writer overwrites an entry, with fields missing or of another type.
+If it were accepted in part, requests would be sent to an invalid address, or a host that reads the
+other fields would crash. So an entry is accepted only if every field that endpoints always write is
+present with its type.
 """
 
 from typing import Annotated, Literal
@@ -14,29 +15,32 @@
 from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.settings import parse_address
 
-# ValueError is that of an address and, as its subclass, that of a field's type; deep nesting ends
-# in RecursionError.
-BAD_ROW = (ValueError, RecursionError)
-Count = Annotated[int, msgspec.Meta(ge=0)]
+# parse_address raises ValueError, and msgspec a subclass of it; deep nesting raises RecursionError.
+ROW_ERRORS = (ValueError, RecursionError)
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class HeldRow(msgspec.Struct):
-    """A model that an endpoint holds; adapters are NAME or NAME@VERSION."""
+class LoadedModelRow(msgspec.Struct):
+    """A model that an endpoint has loaded; adapters are NAME or NAME@VERSION."""
 
     name: str
     version: int = 0
     adapters: list[str] | None = None
 
 
-class AtHandRow(msgspec.Struct):
-    """Models whose weights an endpoint has in its memory or on its disk."""
+class CachedWeightsRow(msgspec.Struct):
+    """Models whose weights an endpoint has cached in its memory or on its disk."""
 
     in_memory: list[str] | None = None
     on_disk: list[str] | None = None
 
 
 class EntryRow(msgspec.Struct):
-    """An endpoint's entry; ``seq`` counts its heartbeats, unlike the one in a report."""
+    """An endpoint's entry in the store.
+
+    ``seq`` counts its heartbeats, unlike the ``seq`` of a report. ``born`` is the start time in
+    Unix milliseconds, 0 when unknown.
+    """
 
     service: str
     address: str
@@ -46,23 +50,23 @@
     state: Literal["ready", "draining"]
     cold_remaining_ms: float
     seq: int
-    born: Count = 0
-    models: list[HeldRow] | None = None
-    at_hand: AtHandRow | None = None
+    born: NonNegativeInt = 0
+    models: list[LoadedModelRow] | None = None
+    at_hand: CachedWeightsRow | None = None
 
 
 class ReportRow(msgspec.Struct):
     """An engine's report; ``seq`` counts the orders it accepted.
 
-    ``coming`` are adapters on their way, as MODEL/NAME@VERSION.
+    ``coming`` are adapters that are being loaded, as MODEL/NAME@VERSION.
     """
 
-    seq: Count
+    seq: NonNegativeInt
     busy: bool
-    models: list[HeldRow]
-    born: Count = 0
+    models: list[LoadedModelRow]
+    born: NonNegativeInt = 0
     coming: list[str] | None = None
-    at_hand: AtHandRow | None = None
+    at_hand: CachedWeightsRow | None = None
 
 
 ENTRY = msgspec.json.Decoder(EntryRow)
@@ -70,13 +74,13 @@
 
 
 def decode_endpoint(endpoint_id: str, raw: bytes) -> EndpointEntry | Failure:
-    """Read the row in which an endpoint registered itself; the row's key is its id."""
+    """Decode the row in which an endpoint registered itself; the row's key is its id."""
     try:
         row = ENTRY.decode(raw)
         parse_address(row.address)
-    except BAD_ROW as exc:
+    except ROW_ERRORS as exc:
         return Failure(Kind.BAD_REQUEST, f"entry {endpoint_id}: {type(exc).__name__}: {exc}")
-    at_hand = row.at_hand or AtHandRow()
+    cached = row.at_hand or CachedWeightsRow()
     return EndpointEntry(
         endpoint_id=endpoint_id,
         service=row.service,
@@ -84,39 +88,39 @@
         domain=row.zone,
         slots=row.slots,
         draining=row.state != "ready",
-        models=read_held(row.models),
-        in_memory=frozenset(at_hand.in_memory or ()),
-        on_disk=frozenset(at_hand.on_disk or ()),
+        models=read_loaded_models(row.models),
+        in_memory=frozenset(cached.in_memory or ()),
+        on_disk=frozenset(cached.on_disk or ()),
         started_ms=row.born,
     )
 
 
 def decode_report(raw: bytes) -> EngineState | Failure:
-    """Read an engine's report."""
+    """Decode an engine's report; a bad one is a failure of kind endpoint_error."""
     try:
         row = REPORT.decode(raw)
-    except BAD_ROW as exc:
+    except ROW_ERRORS as exc:
         return Failure(Kind.ENDPOINT_ERROR, f"report: {type(exc).__name__}: {exc}")
-    at_hand = row.at_hand or AtHandRow()
+    cached = row.at_hand or CachedWeightsRow()
     return EngineState(
         seq=row.seq,
         busy=row.busy,
-        models=read_held(row.models),
-        coming=frozenset(without_version(name) for name in row.coming or ()),
-        in_memory=frozenset(at_hand.in_memory or ()),
-        on_disk=frozenset(at_hand.on_disk or ()),
-        born=row.born,
+        models=read_loaded_models(row.models),
+        pending_adapters=frozenset(strip_version(name) for name in row.coming or ()),
+        in_memory=frozenset(cached.in_memory or ()),
+        on_disk=frozenset(cached.on_disk or ()),
+        started_ms=row.born,
     )
 
 
-def read_held(rows: list[HeldRow] | None) -> dict[str, LoadedModel]:
-    """Return the models that an endpoint holds, by name."""
+def read_loaded_models(rows: list[LoadedModelRow] | None) -> dict[str, LoadedModel]:
+    """Return the models that an endpoint has loaded, by name."""
     return {
-        row.name: LoadedModel(row.version, frozenset(map(without_version, row.adapters or ())))
+        row.name: LoadedModel(row.version, frozenset(map(strip_version, row.adapters or ())))
         for row in rows or ()
     }
 
 
-def without_version(name: str) -> str:
-    """Return an adapter's name without the version that may stand behind it."""
+def strip_version(name: str) -> str:
+    """Return an adapter's name without its optional ``@VERSION`` suffix."""
     return name.partition("@")[0]
--- a/peridotdock/platform/store.py
+++ b/peridotdock/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows with versions, transactions, feeds and objects, over HTTP."""
+"""Client for the platform's store over HTTP: versioned rows, transactions, feeds and objects."""
 
 import asyncio
 import base64
@@ -10,7 +10,7 @@
 import aiohttp
 import msgspec
 
-from peridotdock.clients.http import BROKEN, UNREACHABLE, Pool
+from peridotdock.clients.http import TRANSFER_ERRORS, CONNECT_ERRORS, Pool
 from peridotdock.clients.platform import Committed, ListedHost, Row, Transaction
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.clients.tables import TableChanges, TableView
@@ -18,21 +18,22 @@
 from peridotdock.metrics import Metrics
 from peridotdock.relay.settings import Address
 
-# The product's own rows; all stand in the empty part, so that one transaction can change several.
+# The table of the product's own rows; all are in the empty part, so that one transaction can change
+# several.
 OWN_TABLE = "peridotdock"
-# Tables that the operators and the endpoints write, and the row of the configuration.
+# The operators' table and the key of its configuration row, and the endpoints' table.
 CONFIG_TABLE = "op"
 CONFIG_KEY = "config"
 ENDPOINT_TABLE = "servers"
-# Seconds for a call that the store does not hold back; it takes some milliseconds on a good day.
-CALL_SECONDS = 1.5
-DROPPED = "tombstone"
+# Seconds for a call that is not a long poll; it usually takes some milliseconds.
+CALL_TIMEOUT_SECONDS = 1.5
+TOMBSTONE_FIELD = "tombstone"
 READ_ERRORS = (LookupError, AttributeError, TypeError, ValueError, msgspec.DecodeError)
 COMMIT_KINDS = {412: Kind.CONFLICT, 429: Kind.PLATFORM_DOWN, 503: Kind.PLATFORM_DOWN}
 
 
 class TableStore:
-    """The platform's store, as the product's one client of it."""
+    """The only client of the platform's store."""
 
     def __init__(self, address: Address, metrics: Metrics, time: StoreTime):
         self._url = f"http://{address}"
@@ -44,14 +45,18 @@
         """Close the connections."""
         await self._pool.close()
 
-    def suspect(self) -> None:
-        """Take no kept connection again: a call on one of them may never be answered."""
+    def renew_connections(self) -> None:
+        """Stop reusing the present connections: a call on one of them may never be answered."""
         self._pool.renew()
 
     async def _call(
-        self, method: str, path: str, body: bytes | None = None, seconds: float = CALL_SECONDS
+        self,
+        method: str,
+        path: str,
+        body: bytes | None = None,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> tuple[int, bytes] | Failure:
-        limit = aiohttp.ClientTimeout(total=seconds, sock_connect=CALL_SECONDS)
+        limit = aiohttp.ClientTimeout(total=seconds, sock_connect=CALL_TIMEOUT_SECONDS)
         headers = {"content-type": "application/json"} if body is not None else None
         call = path.partition("?")[0].split("/")[2]
         try:
@@ -62,20 +67,20 @@
                 ) as resp,
             ):
                 raw = await resp.read()
-        except UNREACHABLE as exc:
+        except CONNECT_ERRORS as exc:
             self._metrics.platform.labels(call, "unreachable").inc()
             return Failure(Kind.PLATFORM_DOWN, type(exc).__name__)
-        except BROKEN as exc:
+        except TRANSFER_ERRORS as exc:
             if isinstance(exc, asyncio.TimeoutError):
-                # The connection may have gone silent for good; the next call takes a new one.
+                # The connection may be dead but not closed; the next call opens a new one.
                 self._pool.renew()
             self._metrics.platform.labels(call, "lost").inc()
             return Failure(Kind.OUTCOME_UNKNOWN, type(exc).__name__)
         self._metrics.platform.labels(call, str(resp.status)).inc()
         return resp.status, raw
 
-    async def _fetch(self, path: str, seconds: float = CALL_SECONDS) -> Any | Failure:
-        """Return the decoded body of a read; a read that was lost is simply not done."""
+    async def _fetch(self, path: str, seconds: float = CALL_TIMEOUT_SECONDS) -> Any | Failure:
+        """Return the decoded body of a read; a read whose answer was lost has no effect."""
         outcome = await self._call("GET", path, seconds=seconds)
         if failed(outcome):
             return Failure(Kind.PLATFORM_DOWN, outcome.reason)
@@ -89,19 +94,19 @@
         except msgspec.DecodeError as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad body: {exc}")
 
-    def _note_time(self, found: Mapping[str, Any], asked_at: float) -> None:
-        """Take in the store's time from an answer that it did not hold back."""
-        told = found.get("now_ms")
-        if isinstance(told, int):
-            self._time.note(told / 1000, asked_at)
+    def _record_time(self, found: Mapping[str, Any], sent_at: float) -> None:
+        """Record the store's time from the answer to a call that is not a long poll."""
+        now_ms = found.get("now_ms")
+        if isinstance(now_ms, int):
+            self._time.record(now_ms / 1000, sent_at)
 
-    async def _pages(
+    async def _read_pages(
         self, table: str, start: str = "", end: str = ""
     ) -> tuple[list[dict[str, Any]], int] | Failure:
-        """Read a range of keys, page by page; the version is that of the first page.
+        """Read a range of keys page by page; return its rows and the version of the first page.
 
-        Following a table from the first page's version gives every change that a later page may
-        have shown already, so nothing is missed.
+        Following the table from the first page's version misses no change: it repeats those that
+        later pages may already contain.
         """
         rows: list[dict[str, Any]] = []
         version = None
@@ -109,12 +114,12 @@
             query = {"table": table, "part": ""}
             query |= {"from": start} if start else {}
             query |= {"to": end} if end else {}
-            asked_at = self._time.clock()
+            sent_at = self._time.clock()
             page = await self._fetch("/v1/rows-get?" + urlencode(query))
             if failed(page):
                 return page
             try:
-                self._note_time(page, asked_at)
+                self._record_time(page, sent_at)
                 rows += page["rows"]
                 version = int(page["ver"]) if version is None else version
                 if not page.get("has_more"):
@@ -124,27 +129,28 @@
                 return Failure(Kind.PLATFORM_DOWN, f"bad page: {exc!r}")
 
     async def read_table(self, table: str) -> TableView | Failure:
-        """Read a whole table."""
-        found = await self._pages(table)
+        """Read all rows of a table."""
+        found = await self._read_pages(table)
         if failed(found):
             return found
         rows, version = found
         try:
-            return TableView({row["key"]: read_value(row) for row in rows}, version)
+            return TableView({row["key"]: decode_value(row) for row in rows}, version)
         except READ_ERRORS as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad row: {exc!r}")
 
     async def follow(
-        self, table: str, after: int, hold: float, answer: float
+        self, table: str, after: int, hold_seconds: float, answer_seconds: float
     ) -> TableChanges | Failure:
         """Wait for changes of a table after a version."""
-        query = urlencode({"table": table, "after": after, "wait_ms": int(hold * 1000)})
-        found = await self._fetch("/v1/rows-feed?" + query, hold + answer)
+        query = urlencode({"table": table, "after": after, "wait_ms": int(hold_seconds * 1000)})
+        found = await self._fetch("/v1/rows-feed?" + query, hold_seconds + answer_seconds)
         if failed(found):
             return found
         try:
             values = {
-                row["key"]: None if row.get(DROPPED) else read_value(row) for row in found["rows"]
+                row["key"]: None if row.get(TOMBSTONE_FIELD) else decode_value(row)
+                for row in found["rows"]
             }
             return TableChanges(values, int(found["ver"]))
         except READ_ERRORS as exc:
@@ -165,14 +171,14 @@
         return await self._own_rows(prefix, prefix + "\x7f")
 
     async def _own_rows(self, start: str, end: str) -> dict[str, Row] | Failure:
-        found = await self._pages(OWN_TABLE, start, end)
+        found = await self._read_pages(OWN_TABLE, start, end)
         if failed(found):
             return found
         try:
             return {
                 row["key"]: Row(value, int(row["ver"]))
                 for row in found[0]
-                if (value := read_own(row)) is not None
+                if (value := decode_own_row(row)) is not None
             }
         except READ_ERRORS as exc:
             return Failure(Kind.PLATFORM_DOWN, f"bad row: {exc!r}")
@@ -181,21 +187,21 @@
         """Send the transaction once."""
         writes = {key: value for key, value in tx.writes.items() if value is not None}
         body = {
-            "expected": [own_row(key) | {"ver": ver} for key, ver in tx.checks.items()],
+            "expected": [own_row_key(key) | {"ver": ver} for key, ver in tx.checks.items()],
             "set_keys": [
-                own_row(key) | {"value": encode_value(value, tx.id)}
+                own_row_key(key) | {"value": encode_value(value, tx.id)}
                 for key, value in writes.items()
             ],
-            "remove": [own_row(key) for key in tx.writes if key not in writes],
+            "remove": [own_row_key(key) for key in tx.writes if key not in writes],
         }
-        asked_at = self._time.clock()
+        sent_at = self._time.clock()
         outcome = await self._call("POST", "/v1/rows-tx", json.dumps(body).encode())
         if failed(outcome):
             return outcome
         status, raw = outcome
         if status == 200:
             found = msgspec.json.decode(raw)
-            self._note_time(found, asked_at)
+            self._record_time(found, sent_at)
             return Committed(int(found["ver"]))
         return Failure(COMMIT_KINDS.get(status, Kind.OUTCOME_UNKNOWN), f"status {status}")
 
@@ -226,9 +232,9 @@
             if "peer" in row.value and "leaving" in row.value
         ]
 
-    async def register_host(self, host: str, peer: str, leaving: bool) -> Failure | None:
-        """Write this host's row, whatever it says now: only this host writes it."""
-        value = {"peer": peer, "leaving": leaving}
+    async def register_host(self, host: str, peer: str, draining: bool) -> Failure | None:
+        """Overwrite this host's row without a version check: no other host writes it."""
+        value = {"peer": peer, "leaving": draining}
         outcome = await self.commit(Transaction({}, {HOST_PREFIX + host: value}))
         return outcome if failed(outcome) else None
 
@@ -236,12 +242,12 @@
 HOST_PREFIX = "host/"
 
 
-def read_value(row: Mapping[str, Any]) -> bytes:
-    """Return a row's bytes; of a value that can't be read, none.
+def decode_value(row: Mapping[str, Any]) -> bytes:
+    """Return a row's value, empty if it can't be decoded.
 
-    Failure guarded against: one row of another writer is no base64, and each call that gives it
-    fails as a whole, so that nothing else in the table is seen any more. No bytes are neither a
-    configuration nor an entry, so the one who takes them refuses just this row.
+    Failure guarded against: a row of another writer is not base64, and every call that returns it
+    fails, so that no other row of the table can be read. An empty value is not a valid
+    configuration or entry, so its reader rejects just this row.
     """
     try:
         return base64.b64decode(row["value"])
@@ -249,20 +255,20 @@
         return b""
 
 
-def read_own(row: Mapping[str, Any]) -> dict[str, Any] | None:
-    """Return what one of the product's rows says, None when it can't be read."""
+def decode_own_row(row: Mapping[str, Any]) -> dict[str, Any] | None:
+    """Return the value of one of the product's rows, None when it can't be decoded."""
     try:
-        value = json.loads(read_value(row))
+        value = json.loads(decode_value(row))
     except (ValueError, RecursionError):
         return None
     return value if isinstance(value, dict) else None
 
 
-def own_row(key: str) -> dict[str, Any]:
-    """Return the address of one of the product's rows."""
+def own_row_key(key: str) -> dict[str, Any]:
+    """Return the table, part and key that address one of the product's rows."""
     return {"table": OWN_TABLE, "part": "", "key": key}
 
 
 def encode_value(value: Mapping[str, Any], tx_id: str) -> str:
-    """Return a row's value; the transaction's id in it tells after a conflict whose it is."""
+    """Return a row's value; the transaction's id in it identifies the writer after a conflict."""
     return base64.b64encode(json.dumps({**value, "write": tx_id}).encode()).decode()
--- a/peridotdock/relay/following.py
+++ b/peridotdock/relay/following.py
@@ -181,7 +181,7 @@
         force.
         """
         if self._call_in_flight:
-            self._tables.suspect()
+            self._tables.renew_connections()
         self._interrupt()
 
     # Frames of the reader
--- a/peridotdock/relay/sending.py
+++ b/peridotdock/relay/sending.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any, Self, TypeVar
 
-from peridotdock.clients.endpoint import Call, HttpEndpoints, Opened, read_all
+from peridotdock.clients.endpoint import Call, HttpEndpoints, OpenResponse, read_all
 from peridotdock.clock import Clock
 from peridotdock.decisions.overload import connect_timeout
 from peridotdock.errors import Failure, Kind, failed
@@ -32,7 +32,7 @@
     """An answer of which the head was received and the body is still to be read."""
 
     state: EndpointState
-    opened: Opened
+    opened: OpenResponse
     head: AnswerHead
 
 
@@ -108,9 +108,9 @@
             req.target,
             self._wire.write_send(req, options),
             req.body,
-            once=True,
-            connect=connect_timeout(remaining),
-            wanted=state.accepts_requests,
+            at_most_once=True,
+            connect_timeout=connect_timeout(remaining),
+            still_wanted=state.accepts_requests,
         )
         sent_at = self._clock.monotonic()
         work = self._endpoints.open(f"http://{state.entry.address}", call)
@@ -130,7 +130,7 @@
                 # A second answer may follow and be read as the next request's. The connection of an
                 # answer that was read to its end is already back in the pool.
                 opened.abort()
-                self._endpoints.suspect(f"http://{state.entry.address}")
+                self._endpoints.renew_connections(f"http://{state.entry.address}")
             await opened.release()
             return failure
         return PendingAnswer(state, opened, head)
