--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -41,7 +41,7 @@
 from peridotdock.schema.messages import DemandFact, HostFact, OrdersFact, Rows, WantsFact
 from peridotdock.schema.settings import Settings
 from tests.builders import facts_of
-from tests.relay.deployment import BOUNDS, CONFIG, ENGINE, free_address
+from tests.relay.deployment import BOUNDS, CONFIG, ENGINE_CONFIG, free_address
 from tests.standins.runner import RunnerStandin
 from tests.standins.tables import TableStandin
 
@@ -83,7 +83,12 @@
         | {"warm_s": 0.38, "disk_s": 1.0}
         for name in model_names(size)
     ]
-    engine = ENGINE | {"weights_mb": 200000, "adapter_slots": 8, "loads_per_s": 3, "slots": 64}
+    engine = ENGINE_CONFIG | {
+        "weights_mb": 200000,
+        "adapter_slots": 8,
+        "loads_per_s": 3,
+        "slots": 64,
+    }
     services = [{"name": "engines", "engine": engine | {"models": models}}, {"name": "pages"}]
     return CONFIG | {"services": services}
 
--- a/extras/bench_relay.py
+++ b/extras/bench_relay.py
@@ -96,7 +96,7 @@
         for index in range(number):
             models = ("m0",) if service == "engines" else ()
             runner = await RunnerStandin(f"{service}-{index}", models).start()
-            runner.pace, runner.events = EVENT_SECONDS, EVENTS
+            runner.delay_seconds, runner.events = EVENT_SECONDS, EVENTS
             store.put("servers", runner.name, runner.entry(service))
             started.append(runner)
     return started
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -17,7 +17,7 @@
 from extras.soak.plan import LONGEST_SECONDS, Plan, draw
 from extras.soak.proxy import Proxy
 from extras.soak.world import MODELS_FIT, World
-from tests.standins.runner import EVENTS, RunnerStandin
+from tests.standins.runner import EVENTS_PER_STREAM, RunnerStandin
 
 CALLERS = 8
 # Callers that send the same request, which ends endpoints, beside what they send otherwise.
@@ -72,7 +72,7 @@
         await asyncio.sleep(RECOVERY_SECONDS)
         await probe(world, record, began, plan.seed)
         collect(world, record, began)
-        return list(find_broken(record, plan.planned, EVENTS, MODELS_FIT))
+        return list(find_broken(record, plan.planned, EVENTS_PER_STREAM, MODELS_FIT))
     finally:
         await world.stop()
 
@@ -94,9 +94,9 @@
     record.limited = world.limited
     links = world.links | world.past_links
     for runner in (*world.engines, *world.pages, *world.gone):
-        record.ran += runner.ran
+        record.ran += runner.executed
         record.orders[runner.name] = runner.orders
-        record.held[runner.name] = runner.most_held
+        record.held[runner.name] = runner.max_models_held
         leaves_at = world.leaves_at.get(runner.name, math.inf)
         record.words.append(read_words(runner, links[runner.name], leaves_at, began))
 
@@ -106,10 +106,10 @@
 
     A wish for rest that was lost on its way is left out: no host knows of it.
     """
-    heads = [(at - began, name) for at, name in runner.heads]
+    heads = [(at - began, name) for at, name in runner.request_times]
     rests = [
         (at - began, name, seconds)
-        for at, name, seconds, port in runner.rests
+        for at, name, seconds, port in runner.refusals
         if not link.lost(port, at)
     ]
     return Words(heads, rests, leaves_at - began)
--- a/extras/soak/world.py
+++ b/extras/soak/world.py
@@ -13,7 +13,7 @@
 from extras.soak.plan import Fault
 from extras.soak.ports import free_port
 from extras.soak.proxy import Proxy
-from tests.relay.deployment import CONFIG, ENGINE, ROUTES
+from tests.relay.deployment import CONFIG, ENGINE_CONFIG, ROUTES
 from tests.standins.runner import RunnerStandin
 from tests.standins.tables import TableStandin
 
@@ -157,9 +157,9 @@
 
     async def _add_runner(self, service: str, models: tuple[str, ...]) -> None:
         runner = await RunnerStandin(f"{service}-{next(self._numbers)}", models).start()
-        runner.fatal = {POISON}
-        runner.on_end = lambda: self._note_end(runner)
-        runner.pace = EVENT_SECONDS if service == "engines" else PAGE_SECONDS
+        runner.fatal_bodies = {POISON}
+        runner.on_crash = lambda: self._note_end(runner)
+        runner.delay_seconds = EVENT_SECONDS if service == "engines" else PAGE_SECONDS
         link = await Proxy(runner.address).start()
         self.links[runner.name] = link
         (self.engines if service == "engines" else self.pages).append(runner)
@@ -169,7 +169,7 @@
     async def leave_by_word(self) -> None:
         """Let an engine and a plain service's endpoint say in answers alone that they leave."""
         for runner in (self.engines[1], self.pages[1]):
-            runner.says = {"server-leaving": "1"}
+            runner.extra_headers = {"server-leaving": "1"}
             self.leaves_at[runner.name] = time.monotonic()
 
     async def refuse(self, seconds: float) -> None:
@@ -178,7 +178,7 @@
         rows = (self.engines[2], self.pages[2])
         while time.monotonic() < until:
             for runner in rows:
-                runner.rest = REST
+                runner.retry_after = REST
                 runner.script += ["refuse"]
             await asyncio.sleep(REFUSAL_GAP)
 
@@ -187,11 +187,11 @@
         named = time.monotonic()
         rows = [(self.engines[0], ENGINE_LIMIT), (self.pages[0], PAGE_LIMIT)]
         for runner, rate in rows:
-            runner.says = {"server-limit": str(rate)}
+            runner.extra_headers = {"server-limit": str(rate)}
         await asyncio.sleep(seconds)
         for runner, rate in rows:
-            runner.says = {}
-            self.limited.append(Limited(rate, named, time.monotonic(), runner.calls))
+            runner.extra_headers = {}
+            self.limited.append(Limited(rate, named, time.monotonic(), runner.call_times))
 
     def _note_end(self, runner: RunnerStandin) -> None:
         """Note that a request has ended an endpoint, and let another one take its place."""
@@ -209,7 +209,7 @@
 
     def _configure(self) -> None:
         changed = CONFIG | {"version": self.version, "routes": self.routes}
-        changed["services"] = [{"name": "engines", "engine": ENGINE}, {"name": "pages"}]
+        changed["services"] = [{"name": "engines", "engine": ENGINE_CONFIG}, {"name": "pages"}]
         self.store.put("op", "config", json.dumps(changed).encode())
 
     # Faults
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -12,10 +12,10 @@
 from tests import count
 
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN = 3
+MAX_KNOWN_RED = 3
 
 
-def read_known():
+def read_known_red():
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -26,7 +26,7 @@
     logging.getLogger().addHandler(logging.NullHandler())
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
     logging.getLogger("peridotdock").setLevel(logging.CRITICAL)
-    known = read_known()
+    known = read_known_red()
     names = sys.argv[1:] or ["tests"]
     nose2.discover(
         argv=["nose2", "-s", ".", "-t", ".", *names], plugins=["tests.count"], exit=False
@@ -35,11 +35,11 @@
     passed = count.passed - failed
     for name in sorted(failed & set(known)):
         print(f"known red: {known[name]}")
-    healed = set(known) & passed
-    if healed:
-        print(f"listed as red but passing: {sorted(healed)}")
+    unexpected_passes = set(known) & passed
+    if unexpected_passes:
+        print(f"listed as red but passing: {sorted(unexpected_passes)}")
     print(f"{len(passed)} passed, {len(failed)} failed")
-    bad = failed - set(known) or healed or len(known) > MOST_KNOWN or not passed
+    bad = failed - set(known) or unexpected_passes or len(known) > MAX_KNOWN_RED or not passed
     return 1 if bad else 0
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -57,12 +57,12 @@
 
 
 def accepted(generation=1, **parts):
-    found = check(canonical(document(**parts)))
-    assert found.manifest is not None, found.errors
-    return Accepted(generation, digest(found.document), found.document, found.manifest)
+    result = check(canonical(document(**parts)))
+    assert result.manifest is not None, result.errors
+    return Accepted(generation, digest(result.document), result.document, result.manifest)
 
 
-def facts_of(board, slots=None):
+def facts_of(fact_table, slots=None):
     """The facts of a board as its peers read them: those in ``slots``, or all."""
-    raw = board.encode_entries(board.slots() if slots is None else slots).values()
+    raw = fact_table.encode_entries(fact_table.slots() if slots is None else slots).values()
     return decode(encode_update(raw, 0)).entries
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -18,9 +18,9 @@
 DOMAINS = ("north", "south", "east", "west")
 TOKEN = "test-token"
 OTHER_TOKEN = "other-token"
-OPERATOR = "operator-token"
+OPERATOR_TOKEN = "operator-token"
 WAIT_SECONDS = 30.0
-FAST = {
+FAST_SETTINGS = {
     "poll_seconds": 0.1,
     "watch_seconds": 0.05,
     "lease_seconds": 1.0,
@@ -60,7 +60,7 @@
         ]
         self.services = [ServiceStandin() for _ in range(services)]
         self.hosts = []
-        self.settings = FAST | (settings or {})
+        self.settings = FAST_SETTINGS | (settings or {})
         self._host_count = hosts
         self._models = models
         self._adapters = adapters
@@ -84,13 +84,13 @@
             await standin.stop()
 
     def make_settings(self, name, **more):
-        place = len(self.hosts)
+        index = len(self.hosts)
         base = {
             "host_id": name,
-            "domain": DOMAINS[place % len(DOMAINS)],
+            "domain": DOMAINS[index % len(DOMAINS)],
             "platform_url": self.platform.url,
             "cluster_key": "0123456789abcdef",
-            "operator_token": OPERATOR,
+            "operator_token": OPERATOR_TOKEN,
         }
         return Settings(**(base | self.settings | more))
 
@@ -147,7 +147,7 @@
             base["services"] = []
         return base | changes
 
-    async def operate(self, path, body=None, host=0, token=OPERATOR):
+    async def call_admin(self, path, body=None, host=0, token=OPERATOR_TOKEN):
         head = {"authorization": f"Bearer {token}"}
         url = f"{self.hosts[host].server.url}/admin/{path}"
         method = "POST" if body is not None else "GET"
@@ -156,25 +156,25 @@
             return resp.status, await resp.json()
 
     async def publish(self, document=None, host=0, wait=True):
-        status, answer = await self.operate("manifest", document or self.manifest(), host)
+        status, answer = await self.call_admin("manifest", document or self.manifest(), host)
         assert status == 200, answer
         if wait:
-            await self.wait_true(answer["generation"])
+            await self.wait_in_force(answer["generation"])
         return answer
 
-    async def wait_true(self, generation=1):
-        async def holds():
+    async def wait_in_force(self, generation=1):
+        async def in_force():
             for host in range(len(self.hosts)):
                 if self.hosts[host].host.membership.own.state in ("leaving", "gone"):
                     continue
-                status, found = await self.operate("status", host=host)
+                status, found = await self.call_admin("status", host=host)
                 if status != 200 or not found["true"] or found["generation"] < generation:
                     return False
             return True
 
-        await wait_for(holds, "the manifest in force and true everywhere")
+        await wait_for(in_force, "the manifest in force and true everywhere")
 
-    async def ask(self, model="m0", host=0, token=TOKEN, url=None, headers=None, **body):
+    async def chat(self, model="m0", host=0, token=TOKEN, url=None, headers=None, **body):
         """Return status, answer's headers and body of one request."""
         body = {"model": model, "messages": [{"role": "user", "content": "hello"}]} | body
         head = {"authorization": f"Bearer {token}"} | (headers or {})
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -51,7 +51,7 @@
         self.version = 0
         self.down = False
         self.faults = []
-        self.late = []
+        self.delayed = []
         self.writes = 0
 
     async def read(self, keys):
@@ -69,15 +69,15 @@
         if self.down or fault == "down":
             return Failure(Kind.PLATFORM_DOWN)
         if fault == "late":
-            self.late.append(tx)
+            self.delayed.append(tx)
             return Failure(Kind.OUTCOME_UNKNOWN)
         outcome = self._apply(tx)
         return Failure(Kind.OUTCOME_UNKNOWN) if fault == "lost" else outcome
 
-    def land_late(self):
+    def apply_delayed(self):
         """Let the writes arrive that were on their way."""
-        late, self.late = self.late, []
-        return [self._apply(tx) for tx in late]
+        delayed, self.delayed = self.delayed, []
+        return [self._apply(tx) for tx in delayed]
 
     def _apply(self, tx):
         self.writes += 1
@@ -122,46 +122,48 @@
     def __init__(self, capacity, fencing):
         self.capacity = list(capacity)
         self.fencing = fencing
-        self.boots = 1
+        self.boot_count = 1
         self.items = {}
-        self.highest = 0
-        self.done = set()
+        self.highest_order = 0
+        self.executed = set()
         self.down = False
 
     def used(self):
         used = [0] * len(self.capacity)
         for held in self.items.values():
-            for place in held.accelerators:
-                used[place] += held.bytes
+            for index in held.accelerators:
+                used[index] += held.bytes
         return used
 
     def fits(self):
-        return all(use <= room for use, room in zip(self.used(), self.capacity, strict=True))
+        return all(
+            used <= capacity for used, capacity in zip(self.used(), self.capacity, strict=True)
+        )
 
     def restart(self):
-        self.boots += 1
+        self.boot_count += 1
         self.items.clear()
-        self.highest = 0
-        self.done.clear()
+        self.highest_order = 0
+        self.executed.clear()
 
-    def carry_out(self, order):
+    def execute(self, order):
         """Do an order; None when done, else the failure it is answered with."""
         if self.fencing:
-            if order.number in self.done:
+            if order.number in self.executed:
                 return None
-            if order.number < self.highest:
+            if order.number < self.highest_order:
                 return Failure(Kind.FENCED)
-            self.highest = order.number
+            self.highest_order = order.number
         if order.action == "load":
             self.items[order.item] = HeldItem(list(order.accelerators), order.bytes, True)
         else:
             self.items.pop(order.item, None)
-        self.done.add(order.number)
+        self.executed.add(order.number)
         return None
 
     def report(self):
         load = EngineLoad(0, 0, 0, 8, 1e4, 5000)
-        return Report(str(self.boots), dict(self.items), load)
+        return Report(str(self.boot_count), dict(self.items), load)
 
 
 class FakeEndpoints:
@@ -172,29 +174,29 @@
     def __init__(self, engines, clock):
         self.engines = engines
         self.clock = clock
-        self.fates = []
-        self.flying = []
+        self.deliveries = []
+        self.undelivered = []
 
     async def report(self, url, since):
         engine = self.engines[url]
         return Failure(Kind.ENDPOINT_LOST) if engine.down else engine.report()
 
     async def order(self, url, order, timeout):
-        fate = self.fates.pop(0) if self.fates else "now"
-        if fate in ("late", "twice"):
-            self.flying.append((self.clock.monotonic(), url, order))
-        if fate in ("lost", "late"):
+        delivery = self.deliveries.pop(0) if self.deliveries else "now"
+        if delivery in ("late", "twice"):
+            self.undelivered.append((self.clock.monotonic(), url, order))
+        if delivery in ("lost", "late"):
             return Failure(Kind.ENDPOINT_LOST)
-        outcome = self.engines[url].carry_out(order)
-        return Failure(Kind.ENDPOINT_LOST) if fate == "unanswered" else outcome
+        outcome = self.engines[url].execute(order)
+        return Failure(Kind.ENDPOINT_LOST) if delivery == "unanswered" else outcome
 
-    def deliver(self, place, bound):
+    def deliver(self, index, max_delay):
         """Let an order arrive that was under way, unless it is later than an engine that ignores
         numbers is stated to get it."""
-        sent, url, order = self.flying.pop(place % len(self.flying))
+        sent_at, url, order = self.undelivered.pop(index % len(self.undelivered))
         engine = self.engines[url]
-        if engine.fencing or self.clock.monotonic() - sent <= bound:
-            engine.carry_out(order)
+        if engine.fencing or self.clock.monotonic() - sent_at <= max_delay:
+            engine.execute(order)
 
 
 class FakeLease:
@@ -209,11 +211,11 @@
     """Says which lives' leases have lapsed."""
 
     def __init__(self):
-        self.gone = set()
+        self.lapsed = set()
         self.loaded = True
 
     def prove_lapsed(self, incarnation):
-        return {} if incarnation in self.gone else None
+        return {} if incarnation in self.lapsed else None
 
 
 async def settle():
@@ -222,7 +224,7 @@
         await asyncio.sleep(0)
 
 
-class AlwaysLeads:
+class PermanentLease:
     """A lease that is held for good."""
 
     term = 1
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -56,12 +56,18 @@
     {"name": "m1", "weights_mb": 60, "load_s": 0.3, "adapters": 0, "adapter_mb": 1},
 ]
 # Seconds for which the entry of an endpoint that has ended stays.
-LAPSE_SECONDS = 0.5
-ENGINE = {"slots": 8, "weights_mb": 200, "adapter_slots": 4, "loads_per_s": 5, "models": MODELS}
+ENTRY_EXPIRY_SECONDS = 0.5
+ENGINE_CONFIG = {
+    "slots": 8,
+    "weights_mb": 200,
+    "adapter_slots": 4,
+    "loads_per_s": 5,
+    "models": MODELS,
+}
 CONFIG = {
     "version": 1,
     "routes": ROUTES,
-    "services": [{"name": "engines", "engine": ENGINE}, {"name": "pages"}],
+    "services": [{"name": "engines", "engine": ENGINE_CONFIG}, {"name": "pages"}],
 }
 
 
@@ -88,19 +94,19 @@
         for service, runners in (("engines", self.engines), ("pages", self.pages)):
             for runner in runners.values():
                 await runner.start()
-                runner.on_change = partial(self._register, runner, service)
-                runner.on_end = partial(self._lapse, runner)
+                runner.on_change = partial(self._publish_entry, runner, service)
+                runner.on_crash = partial(self._expire_entry, runner)
                 runner.on_change()
         self.configure()
         await self._add_hosts("h")
         self.session = aiohttp.ClientSession(auto_decompress=False)
-        await self._until_known()
+        await self._wait_until_discovered()
         return self
 
-    async def _until_known(self):
+    async def _wait_until_discovered(self):
         await self.until(lambda: all(host.front.deployment for host in self.hosts))
         runners = [*self.engines.values(), *self.pages.values()]
-        names = {runner.name for runner in runners if not runner.ended}
+        names = {runner.name for runner in runners if not runner.crashed}
         await self.until(lambda: all(host.fleet.states.keys() == names for host in self.hosts))
 
     async def replace_hosts(self):
@@ -109,9 +115,9 @@
         for host in old:
             await host.stop()
         await self._add_hosts("n")
-        await self._until_known()
+        await self._wait_until_discovered()
         await self.until(lambda: any(host.leadership.holds() for host in self.hosts))
-        await asyncio.sleep(LAPSE_SECONDS)
+        await asyncio.sleep(ENTRY_EXPIRY_SECONDS)
 
     async def __aexit__(self, *exc):
         await self.session.close()
@@ -121,20 +127,20 @@
             await runner.stop()
         await self.store.stop()
 
-    def _register(self, runner, service):
+    def _publish_entry(self, runner, service):
         self.store.put("servers", runner.name, runner.entry(service))
 
-    def _lapse(self, runner):
+    def _expire_entry(self, runner):
         loop = asyncio.get_running_loop()
-        loop.call_later(LAPSE_SECONDS, self.store.remove, "servers", runner.name)
+        loop.call_later(ENTRY_EXPIRY_SECONDS, self.store.remove, "servers", runner.name)
 
     def configure(self, **changes):
         self.store.put("op", "config", json.dumps(CONFIG | changes).encode())
 
-    async def _add_hosts(self, letter):
+    async def _add_hosts(self, prefix):
         seeds = ()
         for number in range(self._count):
-            host = await self.add_host(f"{letter}{number}", seeds)
+            host = await self.add_host(f"{prefix}{number}", seeds)
             seeds = (host.settings.listen.peers,)
 
     async def add_host(self, name, seeds):
@@ -151,32 +157,34 @@
             peer_port=listen.peers.port,
         )
         rng = random.Random(len(self.hosts) + 1)
-        node = RelayHost(build_context(cfg, rng=rng), settings, PlatformAdapter())
-        await node.start()
-        self.hosts.append(node)
-        return node
+        host = RelayHost(build_context(cfg, rng=rng), settings, PlatformAdapter())
+        await host.start()
+        self.hosts.append(host)
+        return host
 
-    async def until(self, true, seconds=10.0):
+    async def until(self, condition, seconds=10.0):
         """Wait for something to become true, looking at each turn of the loop's timers."""
         async with asyncio.timeout(seconds):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     def url(self, path, host=0):
         return f"http://{self.hosts[host].settings.listen.callers}{path}"
 
-    async def ask(self, path, attempt="a1", model="", to=0, body=b"", **headers):
+    async def send(self, path, attempt="a1", model="", to=0, body=b"", **headers):
         """Send one request; return status, headers and body, or the error that cut it off."""
-        rows = {"host": "shop.example", "x-attempt-id": attempt, "x-deadline-ms": "6000"}
-        rows |= {name.replace("_", "-"): value for name, value in headers.items()}
+        request_headers = {"host": "shop.example", "x-attempt-id": attempt, "x-deadline-ms": "6000"}
+        request_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         if model:
-            rows |= {
+            request_headers |= {
                 "x-model": model,
                 "x-token-counts": "900,20",
                 "x-prompt-prefix": "aa:600,bb:300",
             }
         try:
-            async with self.session.post(self.url(path, to), headers=rows, data=body) as resp:
+            async with self.session.post(
+                self.url(path, to), headers=request_headers, data=body
+            ) as resp:
                 return resp.status, resp.headers, await resp.read()
         except aiohttp.ClientError as exc:
             return 0, {}, exc
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -141,10 +141,10 @@
             state.pending_tokens = 10**6
             for number in range(8):
                 state.in_flight[f"f{number}"] = None
-            status, headers, _ = await found.ask("/recap/", model="m0")
+            status, headers, _ = await found.send("/recap/", model="m0")
             self.assertEqual(503, status)
             self.assertGreater(float(headers["retry-after"]), 1.0)
-            self.assertEqual([], found.engines["e1"].seen)
+            self.assertEqual([], found.engines["e1"].requests)
             state.in_flight.clear()
             state.pending_tokens = 0
-            self.assertEqual(200, (await found.ask("/recap/", "a2", "m0"))[0])
+            self.assertEqual(200, (await found.send("/recap/", "a2", "m0"))[0])
--- a/tests/relay/test_connections.py
+++ b/tests/relay/test_connections.py
@@ -127,7 +127,7 @@
                     found.store.put("servers", "p1", entry)
                     fleet = found.hosts[0].fleet
                     await found.until(lambda: fleet.states["p1"].entry.address == dark.address)
-                    answers = [await found.ask("/bind/", f"a{number}") for number in range(8)]
+                    answers = [await found.send("/bind/", f"a{number}") for number in range(8)]
                 self.assertEqual([200] * 8, [status for status, _, _ in answers])
 
         asyncio.run(asyncio.wait_for(check(), 30))
@@ -151,7 +151,7 @@
             async with Deployment() as found:
                 port = int(found.pages["p1"].address.split(":")[1])
                 loop.sock_connect = connect_and_stall
-                status, _, _ = await found.ask("/bind/")
+                status, _, _ = await found.send("/bind/")
                 self.assertEqual((200, 1), (status, len(stalls)), name)
 
         asyncio.run(asyncio.wait_for(check(), 30))
@@ -174,7 +174,7 @@
         async def check():
             async with Deployment(pages=("p1", "p2")) as found:
                 found.pages["p1"].script = ["silent"] * 20
-                answers = [await found.ask("/bind/", f"a{number}") for number in range(16)]
+                answers = [await found.send("/bind/", f"a{number}") for number in range(16)]
                 statuses = [status for status, _, _ in answers]
                 self.assertLessEqual(statuses.count(504), 2, statuses)
 
@@ -185,10 +185,10 @@
             async with Deployment() as found:
                 for number in range(3):
                     found.pages["p1"].script = ["silent"]
-                    self.assertEqual(504, (await found.ask("/bind/", f"long{number}"))[0])
+                    self.assertEqual(504, (await found.send("/bind/", f"long{number}"))[0])
                     state = found.hosts[0].fleet.states["p1"]
                     now = found.hosts[0].ctx.clock.monotonic()
                     self.assertFalse(state.health.suspect(now))
-                    self.assertEqual(200, (await found.ask("/bind/", f"short{number}"))[0])
+                    self.assertEqual(200, (await found.send("/bind/", f"short{number}"))[0])
 
         asyncio.run(asyncio.wait_for(check(), 30))
--- a/tests/relay/test_entries.py
+++ b/tests/relay/test_entries.py
@@ -137,9 +137,9 @@
                 found.store.put("servers", "e1", raw)
                 await found.until(lambda: used(host) == ["e2"], 3.0)
                 for attempt in range(4):
-                    status, _, _ = await found.ask("/recap/", f"a{attempt}", "m0")
+                    status, _, _ = await found.send("/recap/", f"a{attempt}", "m0")
                     self.assertEqual(200, status)
-                self.assertEqual([], runner.ran)
+                self.assertEqual([], runner.executed)
                 runner.on_change()
                 await found.until(lambda: used(host) == ["e1", "e2"], 3.0)
 
--- a/tests/relay/test_late.py
+++ b/tests/relay/test_late.py
@@ -16,7 +16,7 @@
 from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from tests.builders import make_ctx
-from tests.fakes import AlwaysLeads, FakeClock, settle
+from tests.fakes import PermanentLease, FakeClock, settle
 from tests.relay.deployment import BOUNDS
 from tests.relay.test_decisions import NAMES, SPEC
 
@@ -108,7 +108,7 @@
     """Order an engine for two minutes; return how often it was overfilled, and its orders."""
     rng, clock = random.Random(seed), FakeClock()
     engine, fleet = LateEngine(clock, rng), RelayFleet("north", clock)
-    orderer = Orderer(make_ctx(clock), fleet, engine, AlwaysLeads(), BOUNDS)
+    orderer = Orderer(make_ctx(clock), fleet, engine, PermanentLease(), BOUNDS)
     deployment = Deployment(1, {"s": Service("s", "", 0, SPEC)}, None, {})
     wanted, orders, until = [], 0, clock.monotonic() + SECONDS
     while clock.monotonic() < until:
--- a/tests/relay/test_lost.py
+++ b/tests/relay/test_lost.py
@@ -259,7 +259,7 @@
 
             ports = {int(p.entry("pages")["address"].split(":")[1]) for p in found.pages.values()}
             loop.sock_connect = connect_late
-            ask = asyncio.ensure_future(found.ask("/fetch/x"))
+            ask = asyncio.ensure_future(found.send("/fetch/x"))
             await begun.wait()
             [chosen] = [s.key for s in host.fleet.states.values() if s.in_flight]
             entry = host.fleet.states[chosen].entry
@@ -268,7 +268,7 @@
             status, _, _ = await ask
             self.assertEqual(200, status)
             self.assertIn(entry.address, made)
-            self.assertEqual([], found.pages[chosen].seen)
+            self.assertEqual([], found.pages[chosen].requests)
 
 
 class StoreRetryTest(unittest.TestCase):
--- a/tests/relay/test_ordering.py
+++ b/tests/relay/test_ordering.py
@@ -158,7 +158,7 @@
             self.store.faults = self.rng.choices(("ok", "lost", "late"), (20, 1, 1), k=4)
             asyncio.run(host.step())
             if self.rng.random() < 0.5:
-                self.store.land_late()
+                self.store.apply_delayed()
         else:
             self.order(machine, host, self.rng.choice(("e1", "e2", "e3")))
 
@@ -459,7 +459,7 @@
         async with Deployment(hosts=2) as found:
             await found.until(lambda: any(host.leadership.holds() for host in found.hosts))
             [giver, other] = sorted(found.hosts, key=lambda host: not host.leadership.holds())
-            born = found.engines["e1"].born
+            born = found.engines["e1"].started_ms
             news = EngineNews("e1", ["m0"], [], {"m9": 5.0}, born)
             giver._plan = lambda deployment: None
             giver.peers.publish_orders(giver.leadership.term, [news], {})
--- a/tests/relay/test_overload.py
+++ b/tests/relay/test_overload.py
@@ -116,7 +116,7 @@
             caller.ask("/bind/", "a1")
             self.assertEqual(200, (await caller.read())[0])
             caller.close()
-            _, _, sent, _ = found.pages["p1"].seen[-1]
+            _, _, sent, _ = found.pages["p1"].requests[-1]
             self.assertGreater(int(sent["x-deadline-ms"]), 1000 * (BIND_SECONDS - 0.2))
 
     async def check_counted(self, found, caller):
@@ -124,7 +124,7 @@
         time.sleep(0.3)
         self.assertEqual(200, (await caller.read())[0])
         caller.close()
-        _, _, sent, _ = found.pages["p1"].seen[-1]
+        _, _, sent, _ = found.pages["p1"].requests[-1]
         self.assertLessEqual(int(sent["x-deadline-ms"]), 1000 * (BIND_SECONDS - 0.3))
 
     @run
@@ -137,7 +137,7 @@
             caller.close()
             self.assertEqual(503, status, "a promise that it has not run")
             self.assertIn("retry-after", headers)
-            self.assertEqual([], found.pages["p1"].seen)
+            self.assertEqual([], found.pages["p1"].requests)
 
     @run
     async def test_a_request_whose_answer_would_come_too_late_does_not_run(self):
@@ -155,7 +155,7 @@
             await asyncio.sleep(0.05)
             self.assertEqual(503, status)
             self.assertIn("retry-after", headers)
-            self.assertEqual([], found.pages["p1"].ran)
+            self.assertEqual([], found.pages["p1"].executed)
 
 
 class ReadyAnswersTest(unittest.TestCase):
@@ -177,7 +177,7 @@
                 return kept
 
             page._answer = answer_and_hold
-            self.assertEqual(200, (await found.ask("/bind/"))[0])
+            self.assertEqual(200, (await found.send("/bind/"))[0])
 
 
 class UnreadyTest(unittest.TestCase):
@@ -192,11 +192,11 @@
         host = found.hosts[0]
         async with found.session.get(f"http://{host.settings.listen.readiness}/v1/ready") as resp:
             self.assertEqual(503, resp.status)
-        status, headers, _ = await found.ask("/bind/")
+        status, headers, _ = await found.send("/bind/")
         self.assertEqual(503, status)
         self.assertIn("retry-after", headers)
         self.assertEqual("close", headers["connection"])
-        self.assertEqual([], found.pages["p1"].seen)
+        self.assertEqual([], found.pages["p1"].requests)
 
     @run
     async def test_a_host_without_descriptors_is_not_ready(self):
@@ -207,7 +207,7 @@
             await self.check_refuses(found)
             lag.count = lambda: DescriptorCount(90, 4100)
             await lag.check()
-            self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
+            self.assertEqual(200, (await found.send("/bind/", "a2"))[0])
 
     @run
     async def test_a_host_that_stays_behind_is_not_ready(self):
@@ -216,7 +216,7 @@
                 await asyncio.sleep(3.5)
             await self.check_refuses(found)
             await asyncio.sleep(2.5)
-            self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
+            self.assertEqual(200, (await found.send("/bind/", "a2"))[0])
 
 
 class NamedTest(unittest.TestCase):
--- a/tests/relay/test_pacing.py
+++ b/tests/relay/test_pacing.py
@@ -444,7 +444,7 @@
         async with Deployment(hosts=2) as found:
             await found.until(lambda: len({host.peers.hub() for host in found.hosts}) == 1)
             for number in range(2):
-                status, _, _ = await found.ask("/recap/", f"a{number}", "m0", to=number)
+                status, _, _ = await found.send("/recap/", f"a{number}", "m0", to=number)
                 self.assertEqual(200, status)
             hub = next(host for host in found.hosts if host.peers.is_hub())
             pacer = hub.grants.server._pacers["engines"]
@@ -461,7 +461,7 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             for number in range(4):
-                status, _, _ = await found.ask("/recap/", f"a{number}", "m0", to=other)
+                status, _, _ = await found.send("/recap/", f"a{number}", "m0", to=other)
                 self.assertEqual(200, status)
             asked = found.hosts[other].grants
             self.assertEqual({}, asked._calls)
@@ -475,11 +475,11 @@
             state = host.fleet.states["e1"]
             for number in range(8):
                 state.in_flight[f"f{number}"] = None
-            task = asyncio.ensure_future(found.ask("/recap/", "a1", "m0"))
+            task = asyncio.ensure_future(found.send("/recap/", "a1", "m0"))
             await found.until(lambda: host.grants._calls)
             task.cancel()
             await found.until(lambda: not host.grants._calls)
             self.assertEqual({}, host.grants.server._queued_grants)
             state.in_flight.clear()
             await asyncio.sleep(2 * FULL_RECHECK_SECONDS)
-            self.assertEqual([], found.engines["e1"].seen)
+            self.assertEqual([], found.engines["e1"].requests)
--- a/tests/relay/test_poison.py
+++ b/tests/relay/test_poison.py
@@ -62,8 +62,8 @@
 def make_poison_fatal(found):
     """Let the request end each engine; return what tells which have ended."""
     for runner in found.engines.values():
-        runner.fatal = {POISON}
-    return lambda: [name for name, runner in found.engines.items() if runner.ended]
+        runner.fatal_bodies = {POISON}
+    return lambda: [name for name, runner in found.engines.items() if runner.crashed]
 
 
 def lost_contents(host):
@@ -79,9 +79,9 @@
         """Operators see engines end, and can't tell which of a hundred requests did it."""
         async with Deployment(engines=ENGINES) as found:
             for runner in found.engines.values():
-                runner.fatal = {POISON, b"another"}
+                runner.fatal_bodies = {POISON, b"another"}
             for attempt, body in (("a1", POISON), ("a2", POISON), ("a3", b"another")):
-                await found.ask("/once/", attempt, "m0", body=body)
+                await found.send("/once/", attempt, "m0", body=body)
             contents = lost_contents(found.hosts[0])
             self.assertEqual({"a1", "a2", "a3"}, contents.keys())
             self.assertEqual(contents["a1"], contents["a2"])
@@ -106,13 +106,13 @@
         async with Deployment(hosts=2, engines=ENGINES) as found:
             ended = make_poison_fatal(found)
             for number in range(6):
-                await found.ask("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
+                await found.send("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
                 await asyncio.sleep(PUBLISH_SECONDS)
             self.assertEqual(3, len(ended()), ended())
-            status, headers, _ = await found.ask("/recap/", "bad", "m0", body=POISON)
+            status, headers, _ = await found.send("/recap/", "bad", "m0", body=POISON)
             self.assertEqual(503, status)
             self.assertGreater(float(headers["retry-after"]), 1.0)
-            status, _, _ = await found.ask("/recap/", "good", "m0", body=b"another prompt")
+            status, _, _ = await found.send("/recap/", "good", "m0", body=b"another prompt")
             self.assertEqual(200, status)
 
     @run
@@ -121,12 +121,12 @@
         async with Deployment(hosts=2, engines=ENGINES) as found:
             ended = make_poison_fatal(found)
             for number in range(3):
-                await found.ask("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
+                await found.send("/recap/", f"bad{number}", "m0", to=number % 2, body=POISON)
                 await asyncio.sleep(PUBLISH_SECONDS)
             await found.replace_hosts()
             before = ended()
             for number in range(3):
-                await found.ask("/recap/", f"new{number}", "m0", to=number % 2, body=POISON)
+                await found.send("/recap/", f"new{number}", "m0", to=number % 2, body=POISON)
             self.assertEqual(before, ended())
 
     @run
@@ -140,12 +140,12 @@
             for runner in found.pages.values():
                 runner.script = ["cut"]
             for number in range(2):
-                await found.ask("/fetch/", f"lost{number}", body=b"page")
+                await found.send("/fetch/", f"lost{number}", body=b"page")
             for number in range(40):
-                await found.ask("/fetch/", f"other{number}", body=b"another page")
-                if all(len(runner.ran) > 1 for runner in found.pages.values()):
+                await found.send("/fetch/", f"other{number}", body=b"another page")
+                if all(len(runner.executed) > 1 for runner in found.pages.values()):
                     break
-            status, _, _ = await found.ask("/fetch/", "last", body=b"page")
+            status, _, _ = await found.send("/fetch/", "last", body=b"page")
             self.assertEqual(200, status)
 
     @run
@@ -153,15 +153,15 @@
         """An endpoint that fails a part of its requests answers 500 to one that ended three."""
         async with Deployment(pages=("p0", "p1", "p2", "p3")) as found:
             for runner in [*found.pages.values()][:3]:
-                runner.fatal = {POISON}
+                runner.fatal_bodies = {POISON}
             found.pages["p3"].script = ["error"] * 9
             for number in range(4):
-                await found.ask("/fetch/", f"bad{number}", body=POISON)
-            ended = [runner.ended for runner in found.pages.values()]
+                await found.send("/fetch/", f"bad{number}", body=POISON)
+            ended = [runner.crashed for runner in found.pages.values()]
             self.assertEqual([True, True, True, False], ended)
-            found.pages["p3"].ran.clear()
-            status, _, _ = await found.ask("/fetch/", "bad", body=POISON)
-            self.assertEqual((503, []), (status, found.pages["p3"].ran))
+            found.pages["p3"].executed.clear()
+            status, _, _ = await found.send("/fetch/", "bad", body=POISON)
+            self.assertEqual((503, []), (status, found.pages["p3"].executed))
 
     @run
     async def test_a_request_that_many_repeat_is_not_blocked_with_it(self):
@@ -177,21 +177,21 @@
         )
         async with Deployment(pages=pages) as found:
             for runner in found.pages.values():
-                runner.fatal = {POISON}
+                runner.fatal_bodies = {POISON}
             blocklist = found.hosts[0].blocklist
             for number in range(2):
-                await found.ask("/fetch/", f"bad{number}", body=POISON)
+                await found.send("/fetch/", f"bad{number}", body=POISON)
             for runner in found.pages.values():
-                if runner.ended:
-                    blocklist.note_end(page, EndpointStart(runner.name, str(runner.born)))
+                if runner.crashed:
+                    blocklist.note_end(page, EndpointStart(runner.name, str(runner.started_ms)))
             self.assertEqual(2, len(blocklist.blocked()))
             async with asyncio.timeout(5):
-                while (await found.ask("/fetch/", "page", body=b"page"))[0] != 200:
+                while (await found.send("/fetch/", "page", body=b"page"))[0] != 200:
                     await asyncio.sleep(0.1)
-            before = sum(runner.ended for runner in found.pages.values())
+            before = sum(runner.crashed for runner in found.pages.values())
             for number in range(6):
-                await found.ask("/fetch/", f"more{number}", body=POISON)
-            after = sum(runner.ended for runner in found.pages.values())
+                await found.send("/fetch/", f"more{number}", body=POISON)
+            after = sum(runner.crashed for runner in found.pages.values())
             self.assertLessEqual(after, before + 1)
 
 
@@ -208,10 +208,10 @@
             host = found.hosts[0]
             await found.until(host.leadership.holds)
             for number in range(2):
-                await found.ask("/recap/", f"bad{number}", "m0", body=POISON)
+                await found.send("/recap/", f"bad{number}", "m0", body=POISON)
             self.assertEqual(3, len(ended()))
             host.blocklist.refusal, refusal = (lambda req: None), host.blocklist.refusal
-            waiting = asyncio.create_task(found.ask("/recap/", "waits", "m0", body=POISON))
+            waiting = asyncio.create_task(found.send("/recap/", "waits", "m0", body=POISON))
             await found.until(lambda: host.peers.waiting)
             host.blocklist.refusal = refusal
             status, _, _ = await waiting
--- a/tests/relay/test_quotas.py
+++ b/tests/relay/test_quotas.py
@@ -279,14 +279,14 @@
             await found.until(lambda: found.hosts[1].front.deployment.version == 2)
             statuses = []
             for number in range(60):
-                status, headers, _ = await found.ask(
+                status, headers, _ = await found.send(
                     "/fetch/", f"a{number}", to=number % 2, authorization="Bearer key-one"
                 )
                 statuses.append(status)
                 self.assertEqual(status == 429, "retry-after" in headers)
             self.assertEqual({200, 429}, {*statuses})
-            self.assertEqual(statuses.count(200), len(found.pages["p1"].ran))
-            status, _, _ = await found.ask("/fetch/", "b1", authorization="Bearer key-three")
+            self.assertEqual(statuses.count(200), len(found.pages["p1"].executed))
+            status, _, _ = await found.send("/fetch/", "b1", authorization="Bearer key-three")
             self.assertEqual(200, status)
 
     @run
@@ -297,11 +297,11 @@
             status, number = 200, 0
             while status == 200:
                 number += 1
-                status, headers, _ = await found.ask(
+                status, headers, _ = await found.send(
                     "/fetch/", f"a{number}", authorization="Bearer key-one"
                 )
             await asyncio.sleep(float(headers["retry-after"]) / (1 - RETRY_JITTER_SHARE / 2))
-            status, _, _ = await found.ask("/fetch/", "b1", authorization="Bearer key-one")
+            status, _, _ = await found.send("/fetch/", "b1", authorization="Bearer key-one")
             self.assertEqual(200, status)
 
     @run
@@ -313,7 +313,7 @@
             found.pages["p1"].script = ["refuse"] * 200
             quotas = found.hosts[0].quotas
             for number in range(10):
-                await found.ask("/bind/", f"a{number}", authorization="Bearer key-one")
+                await found.send("/bind/", f"a{number}", authorization="Bearer key-one")
             self.assertEqual(0.0, sum(quotas._own._totals.values()))
 
     @run
@@ -328,7 +328,7 @@
             asked.peers.mesh.on_quota = lambda host, frame: None
             place = found.hosts.index(other)
             for number in range(40):
-                await found.ask("/fetch/", f"a{number}", to=place, authorization="Bearer key-one")
+                await found.send("/fetch/", f"a{number}", to=place, authorization="Bearer key-one")
             lines = [e.detail for e in other.ctx.timeline.select(ALL) if e.name == "hub_silent"]
             self.assertTrue(lines)
             self.assertIn("quotas", lines[0])
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -213,7 +213,7 @@
 
     async def ask(number):
         started_at = loop.time()
-        status, headers, _ = await found.ask(
+        status, headers, _ = await found.send(
             path, f"{path}{number}", model=model, to=number % len(found.hosts)
         )
         return status, headers, loop.time() - started_at
@@ -231,14 +231,14 @@
         engines = (("e1", ("m0",)), ("e2", ("m0",)))
         async with Deployment(hosts=3, engines=engines, pages=("p1", "p2")) as found:
             limited, other = getattr(found, service).values()
-            limited.says = {"server-limit": "1.0"}
+            limited.extra_headers = {"server-limit": "1.0"}
             announced_at = asyncio.get_running_loop().time()
             answers = await burst(found, path, model, 5.0)
             self.assertLessEqual(
-                most_in_window(limited.calls, announced_at + 1.0), 1.5 * WINDOW + 5
+                most_in_window(limited.call_times, announced_at + 1.0), 1.5 * WINDOW + 5
             )
             self.assertEqual({200}, {status for status, _, _ in answers})
-            self.assertGreater(len(other.calls), 60)
+            self.assertGreater(len(other.call_times), 60)
 
     @run
     async def test_a_plain_service_gets_no_more_than_the_limit_it_names(self):
@@ -256,10 +256,10 @@
     async def test_callers_of_the_only_endpoint_are_told_when_to_come_back(self):
         """Callers wait out their deadline at an endpoint that takes no more for now."""
         async with Deployment(hosts=3) as found:
-            found.pages["p1"].says = {"server-limit": "2.0"}
+            found.pages["p1"].extra_headers = {"server-limit": "2.0"}
             named = asyncio.get_running_loop().time()
             answers = await burst(found, "/fetch/", "", 5.0)
-            self.assertLessEqual(most_in_window(found.pages["p1"].calls, named + 1.0), 17)
+            self.assertLessEqual(most_in_window(found.pages["p1"].call_times, named + 1.0), 17)
             refused = [row for row in answers if row[0] != 200]
             self.assertEqual({503}, {status for status, _, _ in refused})
             self.assertGreater(len(refused), 20)
@@ -271,13 +271,13 @@
         """An endpoint is well again, and gets next to nothing."""
         async with Deployment(hosts=3) as found:
             page, name = found.pages["p1"], "p1"
-            page.says = {"server-limit": "5"}
-            await found.ask("/fetch/", "a1")
+            page.extra_headers = {"server-limit": "5"}
+            await found.send("/fetch/", "a1")
             states = [host.fleet.states[name] for host in found.hosts]
             await found.until(lambda: all(state.limited for state in states))
-            page.says = {}
+            page.extra_headers = {}
             await asyncio.sleep(1.3)
-            status, _, _ = await found.ask("/fetch/", "a2", to=2)
+            status, _, _ = await found.send("/fetch/", "a2", to=2)
             self.assertEqual(200, status)
             await found.until(lambda: not any(state.limited for state in states))
             answers = await burst(found, "/fetch/", "", 1.0)
@@ -302,16 +302,16 @@
         """The hub is lost, and the endpoint gets what it takes once more from each host."""
         async with Deployment(hosts=3) as found:
             page = found.pages["p1"]
-            page.says = {"server-limit": "1"}
-            await found.ask("/fetch/", "a1")
+            page.extra_headers = {"server-limit": "1"}
+            await found.send("/fetch/", "a1")
             states = [host.fleet.states["p1"] for host in found.hosts]
             await found.until(lambda: all(state.limited for state in states))
             hub = next(host for host in found.hosts if host.peers.is_hub())
             found.hosts.remove(hub)
             await hub.stop()
             await burst(found, "/fetch/", "", 5.0)
-            self.assertLessEqual(most_in_window(page.calls, page.calls[0] + 1.0), 11)
-            self.assertGreaterEqual(len(page.calls), 3)
+            self.assertLessEqual(most_in_window(page.call_times, page.call_times[0] + 1.0), 11)
+            self.assertGreaterEqual(len(page.call_times), 3)
 
     @run
     async def test_reports_and_orders_keep_to_the_limit_too(self):
@@ -319,8 +319,8 @@
         async with Deployment(hosts=3) as found:
             engine = found.engines["e1"]
             await found.until(lambda: any(host.leadership.holds() for host in found.hosts))
-            engine.says = {"server-limit": "1"}
-            await found.ask("/recap/", "a1", model="m0")
+            engine.extra_headers = {"server-limit": "1"}
+            await found.send("/recap/", "a1", model="m0")
             states = [host.fleet.states["e1"] for host in found.hosts]
             await found.until(lambda: all(state.limited for state in states))
             named = asyncio.get_running_loop().time()
@@ -330,5 +330,5 @@
                 leader.orderer.records["e1"].needs_report = True
                 leader.orderer.changed.set()
                 await asyncio.sleep(0.05)
-            self.assertLessEqual(most_in_window(engine.calls, named + 0.5), 8)
-            self.assertGreater(len([at for at in engine.calls if at > named]), 1)
+            self.assertLessEqual(most_in_window(engine.call_times, named + 0.5), 8)
+            self.assertGreater(len([at for at in engine.call_times if at > named]), 1)
--- a/tests/relay/test_refused.py
+++ b/tests/relay/test_refused.py
@@ -25,7 +25,7 @@
 
 
 def attempts(runner):
-    return [headers["x-attempt-id"] for _, _, headers, _ in runner.seen]
+    return [headers["x-attempt-id"] for _, _, headers, _ in runner.requests]
 
 
 class MissingItemTest(unittest.TestCase):
@@ -80,8 +80,8 @@
             wish = InferenceSpec("m0", "a1", 0, 0, ())
             await found.until(lambda: host.fleet.usable("engines", wish))
             runner.models["m0"].clear()
-            asked = asyncio.create_task(found.ask("/recap/", model="m0/a1"))
-            await found.until(lambda: runner.seen)
+            asked = asyncio.create_task(found.send("/recap/", model="m0/a1"))
+            await found.until(lambda: runner.requests)
             await asyncio.sleep(0.2)
             self.assertEqual(["a1"], attempts(runner))
             runner.on_change()
@@ -125,7 +125,7 @@
             runner = found.pages["p1"]
             runner.script = ["refuse"] * 2
             began = asyncio.get_running_loop().time()
-            status, _, body = await found.ask("/fetch/")
+            status, _, body = await found.send("/fetch/")
             waited = asyncio.get_running_loop().time() - began
             self.assertEqual((200, b"whole answer"), (status, body))
             self.assertGreaterEqual(waited, 1.5 * FIRST_BACKOFF_SECONDS)
@@ -140,9 +140,9 @@
             runner = found.pages["p1"]
             runner.script = ["refuse", "serve"] * 5
             for number in range(5):
-                status, _, body = await found.ask("/fetch/", f"a{number}")
+                status, _, body = await found.send("/fetch/", f"a{number}")
                 self.assertEqual((200, b"whole answer"), (status, body))
-            self.assertEqual(1, runner.accepted)
+            self.assertEqual(1, runner.connection_count)
 
     @run
     async def test_an_old_refusal_is_not_taken_for_this_ones(self):
@@ -152,11 +152,11 @@
         """
         async with Deployment() as found:
             found.pages["p1"].script = ["refuse another"]
-            status, _, body = await found.ask("/bind/")
+            status, _, body = await found.send("/bind/")
             self.assertEqual(502, status, body)
             self.assertEqual("wrong_answer", json.loads(body)["error"]["code"])
-            self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
-            self.assertEqual(2, found.pages["p1"].accepted, "the connection was used again")
+            self.assertEqual(200, (await found.send("/bind/", "a2"))[0])
+            self.assertEqual(2, found.pages["p1"].connection_count, "the connection was used again")
 
 
 class SilentStreamTest(unittest.TestCase):
@@ -169,11 +169,11 @@
         """
         async with Deployment() as found:
             runner = found.engines["e1"]
-            runner.hold = asyncio.Event()
-            asked = asyncio.create_task(found.ask("/recap/", model="m0"))
-            await found.until(lambda: runner.ran)
+            runner.halfway_event = asyncio.Event()
+            asked = asyncio.create_task(found.send("/recap/", model="m0"))
+            await found.until(lambda: runner.executed)
             await asyncio.sleep(SILENCE_SECONDS + 0.3)
-            runner.hold.set()
+            runner.halfway_event.set()
             status, _, body = await asked
             self.assertEqual((200, [*range(1, 7)]), (status, ids(body)))
             self.assertEqual(["a1"], attempts(runner))
--- a/tests/relay/test_relay.py
+++ b/tests/relay/test_relay.py
@@ -31,12 +31,12 @@
     @run
     async def test_a_request_reaches_its_runner_unchanged(self):
         async with Deployment() as found:
-            status, headers, body = await found.ask(
+            status, headers, body = await found.send(
                 "/bind/x%2Fy?q=a+b&q=", body=b"\x00scene", x_other="kept"
             )
             self.assertEqual((200, b"whole answer"), (status, body))
             self.assertEqual("by p1", headers["x-response-signature"])
-            method, target, sent, raw = found.pages["p1"].seen[0]
+            method, target, sent, raw = found.pages["p1"].requests[0]
             self.assertEqual(("POST", "/bind/x%2Fy?q=a+b&q=", b"\x00scene"), (method, target, raw))
             self.assertEqual(("kept", "shop.example"), (sent["x-other"], sent["host"]))
             self.assertLessEqual(int(sent["x-deadline-ms"]), 700)
@@ -51,11 +51,11 @@
         @run
         async def check(self):
             async with Deployment() as found:
-                status, _, body = await found.ask(path, **headers)
+                status, _, body = await found.send(path, **headers)
                 self.assertEqual(expected, status, name)
                 self.assertIn("error", json.loads(body))
-                self.assertEqual([], found.pages["p1"].seen)
-                self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
+                self.assertEqual([], found.pages["p1"].requests)
+                self.assertEqual(200, (await found.send("/bind/", "a2"))[0])
 
         check(self)
 
@@ -78,8 +78,8 @@
             async with Deployment(pages=("p1", "p2")) as found:
                 for runner in found.pages.values():
                     runner.script = [step] * 4
-                status, headers, _ = await found.ask("/bind/")
-                ran = [attempt for runner in found.pages.values() for attempt in runner.ran]
+                status, headers, _ = await found.send("/bind/")
+                ran = [attempt for runner in found.pages.values() for attempt in runner.executed]
                 self.assertEqual(expected, status)
                 self.assertEqual(retry, "retry-after" in headers or not ran)
                 self.assertLessEqual(len(ran), 1)
@@ -93,9 +93,9 @@
             async with Deployment(pages=("p1", "p2")) as found:
                 for runner in found.pages.values():
                     runner.script = [step]
-                first = await found.ask("/fetch/")
+                first = await found.send("/fetch/")
                 self.assertIn(first[0], (200, 500, 502, 503))
-                second = await found.ask("/fetch/", "a2")
+                second = await found.send("/fetch/", "a2")
                 self.assertEqual((200, b"whole answer"), second[::2])
 
         check(self)
@@ -111,7 +111,7 @@
             steps = ["cut", "refuse", "refuse", "refuse"]
             for runner in found.pages.values():
                 runner.script = steps
-            status, _, body = await found.ask("/fetch/")
+            status, _, body = await found.send("/fetch/")
             self.assertEqual("maybe", json.loads(body)["error"]["ran"])
             self.assertEqual(502, status)
 
@@ -119,7 +119,7 @@
     async def test_an_endpoints_own_failure_is_passed_on_as_it_came(self):
         async with Deployment() as found:
             found.pages["p1"].script = ["error"]
-            status, headers, body = await found.ask("/bind/")
+            status, headers, body = await found.send("/bind/")
             self.assertEqual((500, b"failed"), (status, body))
             self.assertEqual("by p1", headers["x-response-signature"])
 
@@ -132,8 +132,8 @@
         """
         async with Deployment() as found:
             found.pages["p1"].script = ["extra"]
-            await found.ask("/bind/", "a1")
-            status, headers, _ = await found.ask("/bind/", "a2")
+            await found.send("/bind/", "a1")
+            status, headers, _ = await found.send("/bind/", "a2")
             self.assertEqual((200, "a2"), (status, headers["x-attempt-id"]))
 
 
@@ -141,7 +141,7 @@
     @run
     async def test_a_stream_is_passed_on_whole(self):
         async with Deployment() as found:
-            status, headers, body = await found.ask("/recap/", model="m0")
+            status, headers, body = await found.send("/recap/", model="m0")
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
             self.assertEqual("by e1", headers["x-response-signature"])
 
@@ -155,21 +155,21 @@
         async with Deployment(engines=TWO_ENGINES) as found:
             for engine in found.engines.values():
                 engine.script = ["cut"]
-            other = await found.ask("/recap/", model="m0")
+            other = await found.send("/recap/", model="m0")
             self.assertIn(other[0], (0, 502), "both cut it: it must not look complete")
-            status, headers, body = await found.ask("/recap/", "a2", model="m0")
+            status, headers, body = await found.send("/recap/", "a2", model="m0")
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
 
     @run
     async def test_a_resumed_stream_keeps_the_first_head(self):
         async with Deployment(engines=TWO_ENGINES) as found:
-            _, headers, _ = await found.ask("/recap/", model="m0")
+            _, headers, _ = await found.send("/recap/", model="m0")
             receipt = headers["x-response-signature"]
             first = found.engines[receipt.removeprefix("by ")]
-            first.script, first.hold = ["cut"], asyncio.Event()
-            asked = asyncio.create_task(found.ask("/recap/", "a2", model="m0"))
-            await found.until(lambda: "a2" in first.ran)
-            first.hold.set()
+            first.script, first.halfway_event = ["cut"], asyncio.Event()
+            asked = asyncio.create_task(found.send("/recap/", "a2", model="m0"))
+            await found.until(lambda: "a2" in first.executed)
+            first.halfway_event.set()
             status, headers, body = await asked
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
             self.assertEqual(receipt, headers["x-response-signature"])
@@ -179,8 +179,8 @@
         async with Deployment(engines=TWO_ENGINES) as found:
             for engine in found.engines.values():
                 engine.script = ["cut"]
-            status, _, _ = await found.ask("/once/", model="m0")
-            ran = [attempt for engine in found.engines.values() for attempt in engine.ran]
+            status, _, _ = await found.send("/once/", model="m0")
+            ran = [attempt for engine in found.engines.values() for attempt in engine.executed]
             self.assertIn(status, (0, 502))
             self.assertEqual(["a1"], ran)
 
@@ -193,16 +193,16 @@
         """
         async with Deployment() as found:
             engine = found.engines["e1"]
-            engine.hold = asyncio.Event()
-            asked = asyncio.create_task(found.ask("/recap/", model="m0"))
-            await found.until(lambda: engine.ran)
+            engine.halfway_event = asyncio.Event()
+            asked = asyncio.create_task(found.send("/recap/", model="m0"))
+            await found.until(lambda: engine.executed)
             asked.cancel()
-            await found.until(lambda: engine.left == ["a1"], 1.0)
+            await found.until(lambda: engine.disconnected == ["a1"], 1.0)
 
     @run
     async def test_a_caller_may_resume_by_itself(self):
         async with Deployment() as found:
-            _, _, body = await found.ask("/recap/", model="m0", last_event_id="4")
+            _, _, body = await found.send("/recap/", model="m0", last_event_id="4")
             self.assertEqual([5, 6], ids(body))
 
 
@@ -212,7 +212,7 @@
         @run
         async def check(self):
             async with Deployment() as found:
-                status, _, body = await found.ask("/recap/", model=model)
+                status, _, body = await found.send("/recap/", model=model)
                 self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
                 order = next(o for o in found.engines["e1"].orders if o.get("adapter") == adapter)
                 self.assertEqual(operation, order["operation"])
@@ -229,7 +229,7 @@
             await found.until(
                 lambda: sorted(len(h.peers.mesh.peers()) for h in found.hosts) == [1, 1, 2]
             )
-            answers = [await found.ask("/recap/", f"a{n}", model="m1", to=n) for n in range(3)]
+            answers = [await found.send("/recap/", f"a{n}", model="m1", to=n) for n in range(3)]
             self.assertEqual([200] * 3, [status for status, _, _ in answers])
             holders = {order["holder"] for order in found.engines["e1"].orders}
             self.assertEqual(1, len(holders))
@@ -244,9 +244,9 @@
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m1",)))) as found:
             await found.until(lambda: found.hosts[0].leadership.may_order())
             await found.engines["e1"].stop()
-            status, _, body = await found.ask("/recap/", model="m0")
+            status, _, body = await found.send("/recap/", model="m0")
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
-            self.assertEqual(["a1"], found.engines["e2"].ran)
+            self.assertEqual(["a1"], found.engines["e2"].executed)
 
 
 class FollowingTest(unittest.TestCase):
@@ -258,8 +258,8 @@
             fleet = found.hosts[0].fleet
             await found.until(lambda: fleet.states["p1"].entry.draining, 2.0)
             for number in range(6):
-                self.assertEqual(200, (await found.ask("/bind/", f"a{number}"))[0])
-            self.assertEqual([], found.pages["p1"].seen)
+                self.assertEqual(200, (await found.send("/bind/", f"a{number}"))[0])
+            self.assertEqual([], found.pages["p1"].requests)
 
     @run
     async def test_a_configuration_never_goes_back(self):
@@ -267,11 +267,11 @@
             front = found.hosts[0].front
             found.configure(version=5, routes=[])
             await found.until(lambda: front.deployment.version == 5)
-            self.assertEqual(404, (await found.ask("/bind/"))[0])
+            self.assertEqual(404, (await found.send("/bind/"))[0])
             found.configure(version=4)
             found.configure(version=6)
             await found.until(lambda: front.deployment.version == 6)
-            self.assertEqual(200, (await found.ask("/bind/", "a2"))[0])
+            self.assertEqual(200, (await found.send("/bind/", "a2"))[0])
 
     @run
     async def test_a_dropped_history_leads_to_a_full_read(self):
@@ -286,7 +286,7 @@
         async with Deployment() as found:
             found.store.faults["down"] = True
             for number in range(3):
-                self.assertEqual(200, (await found.ask("/bind/", f"a{number}"))[0])
+                self.assertEqual(200, (await found.send("/bind/", f"a{number}"))[0])
 
     @run
     async def test_the_directory_names_the_hosts_that_take_work(self):
@@ -311,12 +311,12 @@
     async def test_a_planned_stop_lets_requests_end(self):
         async with Deployment() as found:
             engine = found.engines["e1"]
-            engine.hold = asyncio.Event()
-            asked = asyncio.create_task(found.ask("/recap/", model="m0"))
-            await found.until(lambda: engine.ran)
+            engine.halfway_event = asyncio.Event()
+            asked = asyncio.create_task(found.send("/recap/", model="m0"))
+            await found.until(lambda: engine.executed)
             draining = asyncio.create_task(found.hosts[0].drain())
             await found.until(lambda: found.hosts[0].leaving)
-            engine.hold.set()
+            engine.halfway_event.set()
             status, _, body = await asked
             await draining
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids(body)))
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -21,7 +21,7 @@
 from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.schema.messages import EngineNews
 from tests.builders import make_ctx
-from tests.fakes import AlwaysLeads, FakeClock
+from tests.fakes import PermanentLease, FakeClock
 from tests.relay.deployment import BOUNDS, Deployment
 from tests.relay.test_decisions import SPEC, engine
 
@@ -257,7 +257,7 @@
         self.fleet = RelayFleet("north", self.clock)
         self.engines = SilentEngines(answer, found or report(FIRST, 7, "m0"))
         self.orderer = Orderer(
-            make_ctx(self.clock), self.fleet, self.engines, AlwaysLeads(), BOUNDS
+            make_ctx(self.clock), self.fleet, self.engines, PermanentLease(), BOUNDS
         )
         self.register(entry(FIRST, "m0"))
 
@@ -331,11 +331,11 @@
         """
         async with Deployment() as found:
             host, runner = found.hosts[0], found.pages["p1"]
-            status, _, _ = await found.ask("/bind/", "a1")
+            status, _, _ = await found.send("/bind/", "a1")
             self.assertEqual(200, status)
             runner.restart()
-            await found.until(lambda: host.fleet.states["p1"].entry.started_ms == runner.born)
-            status, _, body = await found.ask("/bind/", "a2")
+            await found.until(lambda: host.fleet.states["p1"].entry.started_ms == runner.started_ms)
+            status, _, body = await found.send("/bind/", "a2")
             self.assertEqual(200, status, body)
 
     async def test_a_restarted_engine_gets_its_models_again(self):
@@ -347,9 +347,9 @@
             host, runner = found.hosts[0], found.engines["e1"]
             await found.until(lambda: "m1" in runner.models)
             runner.restart()
-            await found.until(lambda: host.fleet.states["e1"].entry.started_ms == runner.born)
+            await found.until(lambda: host.fleet.states["e1"].entry.started_ms == runner.started_ms)
             self.assertEqual(0, host.fleet.states["e1"].cached_tokens(WISH))
             await found.until(lambda: {"m0", "m1"} <= {*runner.models}, 10.0)
-            status, _, _ = await found.ask("/recap/", "a1", "m0")
+            status, _, _ = await found.send("/recap/", "a1", "m0")
             self.assertEqual(200, status)
-            self.assertEqual(["a1"], runner.ran)
+            self.assertEqual(["a1"], runner.executed)
--- a/tests/relay/test_words.py
+++ b/tests/relay/test_words.py
@@ -56,14 +56,14 @@
         async with Deployment(hosts=2, engines=TWO_ENGINES, pages=("p1", "p2")) as found:
             leaving, other = getattr(found, service).values()
             found.store.faults["down"] = True
-            leaving.says = {"server-leaving": "1"}
+            leaving.extra_headers = {"server-leaving": "1"}
             await burst(found, path, model, 1.0)
-            self.assertTrue(leaving.calls)
+            self.assertTrue(leaving.call_times)
             announced_at = asyncio.get_running_loop().time()
             answers = await burst(found, f"{path}later", model, 2.0)
-            self.assertEqual(0, sum(at > announced_at for at in leaving.calls))
+            self.assertEqual(0, sum(at > announced_at for at in leaving.call_times))
             self.assertEqual({200}, {status for status, _, _ in answers})
-            self.assertGreater(len(other.calls), 30)
+            self.assertGreater(len(other.call_times), 30)
 
     @run
     async def test_a_plain_service_that_said_it_leaves_gets_nothing_new(self):
@@ -91,9 +91,9 @@
         """A host that has not talked to a leaving endpoint sends it a request first."""
         async with Deployment(hosts=3, pages=("p1", "p2")) as found:
             page = found.pages["p1"]
-            page.says = {"server-leaving": "1"}
-            while not page.calls:
-                await found.ask("/fetch/")
+            page.extra_headers = {"server-leaving": "1"}
+            while not page.call_times:
+                await found.send("/fetch/")
             states = [host.fleet.states["p1"] for host in found.hosts]
             await found.until(lambda: all(state.leaving for state in states), 2.0)
 
@@ -103,12 +103,14 @@
         async with Deployment(engines=(("e1", ("m0",)), ("e2", ("m1",)))) as found:
             host = found.hosts[0]
             await found.until(host.leadership.holds)
-            found.engines["e1"].says = {"server-leaving": "1"}
-            await found.ask("/recap/", model="m0")
-            status, _, _ = await found.ask("/recap/", "a2", model="m0")
+            found.engines["e1"].extra_headers = {"server-leaving": "1"}
+            await found.send("/recap/", model="m0")
+            status, _, _ = await found.send("/recap/", "a2", model="m0")
             self.assertEqual(200, status)
             self.assertIn("m0", found.engines["e2"].models)
-            self.assertEqual(["a1"], [row[2]["x-attempt-id"] for row in found.engines["e1"].seen])
+            self.assertEqual(
+                ["a1"], [row[2]["x-attempt-id"] for row in found.engines["e1"].requests]
+            )
 
 
 class BackoffTest(unittest.TestCase):
@@ -118,13 +120,15 @@
         engines = TWO_ENGINES[:1] if only else TWO_ENGINES
         async with Deployment(engines=engines, pages=("p1", "p2")) as found:
             endpoint = next(iter(getattr(found, service).values()))
-            endpoint.says = {"retry-after": "3"}
+            endpoint.extra_headers = {"retry-after": "3"}
             endpoint.script = ["refuse"] * 1000
             answers = await burst(found, path, model, 3.0)
-            self.assertTrue(endpoint.calls)
-            first = endpoint.calls[0]
+            self.assertTrue(endpoint.call_times)
+            first = endpoint.call_times[0]
             later = [
-                at for at in endpoint.calls if first + BACKOFF_APPLIES_SECONDS < at < first + 3.0
+                at
+                for at in endpoint.call_times
+                if first + BACKOFF_APPLIES_SECONDS < at < first + 3.0
             ]
             self.assertLessEqual(len(later), MAX_SENT_IN_BACKOFF)
             return answers
@@ -144,10 +148,10 @@
         """A caller with seconds left is turned away for a rest of some tenths of a second."""
         async with Deployment() as found:
             page = found.pages["p1"]
-            page.says, page.script = {"retry-after": "0.6"}, ["refuse"]
-            status, _, _ = await found.ask("/fetch/")
+            page.extra_headers, page.script = {"retry-after": "0.6"}, ["refuse"]
+            status, _, _ = await found.send("/fetch/")
             self.assertEqual(200, status)
-            self.assertGreater(page.calls[-1] - page.calls[0], 0.55)
+            self.assertGreater(page.call_times[-1] - page.call_times[0], 0.55)
 
     @run
     async def test_a_host_that_stops_does_not_wait_for_a_backoff_to_end(self):
@@ -155,7 +159,7 @@
         async with Deployment() as found:
             host, page = found.hosts[0], found.pages["p1"]
             host.fleet.states["p1"].backoff_until = host.ctx.clock.monotonic() + 1.0
-            asked = asyncio.create_task(found.ask("/fetch/"))
+            asked = asyncio.create_task(found.send("/fetch/"))
             await asyncio.sleep(0.1)
             began = host.ctx.clock.monotonic()
             stopped = asyncio.create_task(host.drain())
@@ -163,20 +167,20 @@
             self.assertEqual(503, status)
             self.assertLess(host.ctx.clock.monotonic() - began, 0.8)
             self.assertLess(float(headers["retry-after"]), 0.5)
-            self.assertEqual([], page.seen)
+            self.assertEqual([], page.requests)
             await stopped
 
     @run
     async def test_a_retry_after_a_long_backoff_is_served(self):
         async with Deployment() as found:
             page = found.pages["p1"]
-            page.says, page.script = {"retry-after": "4"}, ["refuse"]
-            status, headers, _ = await found.ask("/bind/")
+            page.extra_headers, page.script = {"retry-after": "4"}, ["refuse"]
+            status, headers, _ = await found.send("/bind/")
             self.assertEqual(503, status)
             self.assertGreater(float(headers["retry-after"]), 3.5)
-            self.assertEqual(1, len(page.calls))
+            self.assertEqual(1, len(page.call_times))
             await asyncio.sleep(4.0)
-            status, _, _ = await found.ask("/bind/", "a2")
+            status, _, _ = await found.send("/bind/", "a2")
             self.assertEqual(200, status)
 
     @run
@@ -187,14 +191,14 @@
             await found.until(host.leadership.holds)
             await found.until(lambda: "e1" in host.orderer.records)
             await found.until(lambda: not host.orderer.records["e1"].unreported)
-            engine.says, engine.script = {"retry-after": "3"}, ["refuse"]
-            await found.ask("/recap/", model="m0", x_deadline_ms="300")
+            engine.extra_headers, engine.script = {"retry-after": "3"}, ["refuse"]
+            await found.send("/recap/", model="m0", x_deadline_ms="300")
             began = asyncio.get_running_loop().time()
             while asyncio.get_running_loop().time() < began + 1.5:
                 host.orderer.records["e1"].needs_report = True
                 host.orderer.changed.set()
                 await asyncio.sleep(0.05)
-            later = [at for at in engine.calls if at > began + BACKOFF_APPLIES_SECONDS]
+            later = [at for at in engine.call_times if at > began + BACKOFF_APPLIES_SECONDS]
             self.assertLessEqual(len(later), MAX_SENT_IN_BACKOFF)
 
     @run
@@ -204,9 +208,9 @@
             host = found.hosts[0]
             backoff_until = host.ctx.clock.monotonic() + 5.0
             host.fleet.states["e1"].backoff_until = backoff_until
-            status, _, _ = await found.ask("/recap/", "a1", model="m0", x_deadline_ms="900")
+            status, _, _ = await found.send("/recap/", "a1", model="m0", x_deadline_ms="900")
             self.assertEqual(503, status)
-            status, _, _ = await found.ask("/recap/", "a2", model="m0", to=1)
+            status, _, _ = await found.send("/recap/", "a2", model="m0", to=1)
             self.assertEqual(200, status)
 
     @run
@@ -216,7 +220,7 @@
             host = found.hosts[0]
             host.fleet.states["e1"].backoff_until = host.ctx.clock.monotonic() + 9.0
             for number in range(8):
-                status, _, _ = await found.ask("/recap/", f"a{number}", model="m0")
+                status, _, _ = await found.send("/recap/", f"a{number}", model="m0")
                 self.assertEqual(200, status)
             self.assertEqual({"e2"}, set(host.grants.server._pacers["engines"]._schedules))
 
@@ -231,9 +235,9 @@
                 return GrantedEndpoint("e1", 0.0)
 
             host.grants.request_grant = grant
-            status, _, _ = await found.ask("/recap/", model="m0")
+            status, _, _ = await found.send("/recap/", model="m0")
             self.assertEqual(200, status)
-            self.assertEqual([], found.engines["e1"].seen)
+            self.assertEqual([], found.engines["e1"].requests)
 
     def test_the_backoff_of_an_earlier_start_does_not_bind(self):
         known = EndpointState(ENTRY, Health(), backoff_until=1e9, announced_leaving=True)
--- a/tests/relay/test_workspaces.py
+++ b/tests/relay/test_workspaces.py
@@ -136,13 +136,13 @@
         async with Deployment() as found:
             await configure(found, 2, [RIVER, HILL])
             answers = [
-                await found.ask("/fetch/", "a1", authorization="Bearer key-two", x_tenant="hill"),
-                await found.ask("/recap/", "a2", "m0", authorization="Bearer key-three"),
-                await found.ask("/open/", "a3", x_tenant="hill", authorization="Bearer key-nine"),
+                await found.send("/fetch/", "a1", authorization="Bearer key-two", x_tenant="hill"),
+                await found.send("/recap/", "a2", "m0", authorization="Bearer key-three"),
+                await found.send("/open/", "a3", x_tenant="hill", authorization="Bearer key-nine"),
             ]
             self.assertEqual([200, 200, 200], [status for status, _, _ in answers])
             runners = (*found.engines.values(), *found.pages.values())
-            rows = [headers for runner in runners for _, _, headers, _ in runner.seen]
+            rows = [headers for runner in runners for _, _, headers, _ in runner.requests]
             heads = {row["x-attempt-id"]: row for row in rows}
             names = {name: row.get("x-tenant") for name, row in heads.items()}
             self.assertEqual({"a1": "river", "a2": "hill", "a3": None}, names)
@@ -158,10 +158,10 @@
     async def test_nobody_is_served_without_a_key(self, headers):
         async with Deployment() as found:
             await configure(found, 2, [RIVER, HILL])
-            status, _, body = await found.ask("/fetch/", "a1", **headers)
+            status, _, body = await found.send("/fetch/", "a1", **headers)
             self.assertEqual(401, status)
             self.assertNotIn(b"key-", body)
-            self.assertEqual([], found.pages["p1"].seen)
+            self.assertEqual([], found.pages["p1"].requests)
 
     @run
     async def test_a_key_that_moves_names_its_new_workspace(self):
@@ -171,8 +171,8 @@
             names = []
             for version, tenants in ((2, [RIVER, HILL]), (3, moved)):
                 await configure(found, version, tenants)
-                await found.ask("/fetch/", f"a{version}", authorization="Bearer key-one")
-                names.append(found.pages["p1"].seen[-1][2]["x-tenant"])
+                await found.send("/fetch/", f"a{version}", authorization="Bearer key-one")
+                names.append(found.pages["p1"].requests[-1][2]["x-tenant"])
             self.assertEqual(["river", "hill"], names)
-            status, _, _ = await found.ask("/fetch/", "a9", authorization="Bearer key-two")
+            status, _, _ = await found.send("/fetch/", "a9", authorization="Bearer key-two")
             self.assertEqual(401, status)
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -36,11 +36,11 @@
     options = vars(parse())
     kinds = {"platform": PlatformStandin, "engine": EngineStandin, "service": ServiceStandin}
     standin = await kinds[options.pop("kind")](**options).start()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, told.set)
-    print(f"ready: {standin.served.url}", flush=True)
-    await told.wait()
+        asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+    print(f"ready: {standin.server.url}", flush=True)
+    await stop_requested.wait()
     await standin.stop()
 
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -29,17 +29,17 @@
 from peridotdock.items import name_of
 from peridotdock.prefix import BLOCK_TOKENS, count_tokens, hash_blocks
 from peridotdock.serving import Server, add_route, make_application
-from tests.standins.http import hang_up, read_json, reply
+from tests.standins.http import abort_connection, read_json, reply
 
-GRACE_SECONDS = 5.0
+ABANDONED_STREAM_SECONDS = 5.0
 NOT_RUN = (b"x-not-run", b"1")
 
 
 class Stream:
-    def __init__(self, request_id, item, wanted, text, priority):
+    def __init__(self, request_id, item, max_tokens, text, priority):
         self.id = request_id
         self.item = item
-        self.wanted = wanted
+        self.max_tokens = max_tokens
         self.text = text
         self.priority = priority
         self.tokens = []
@@ -47,7 +47,7 @@
         self.cancelled = False
         self.cached = 0
         self.readers = 0
-        self.left_at = time.monotonic()
+        self.disconnected_at = time.monotonic()
         self.wake = asyncio.Event()
 
     def notify(self):
@@ -82,21 +82,21 @@
         self.load_seconds = load_seconds
         self.report_lag = report_lag
         self.weights_url = weights_url
-        self.fatal = ""
-        self.away = 0.3
-        self.rest = ""
-        self.refused = 0
-        self.ends = 0
+        self.fatal_text = ""
+        self.restart_seconds = 0.3
+        self.retry_after = ""
+        self.refusal_count = 0
+        self.crash_count = 0
         self.boot = f"{name}-{time.monotonic_ns()}"
         self.items = {}
-        self.highest = 0
+        self.highest_order = 0
         self.done_orders = {}
-        self.peak = [0] * len(self.capacity)
+        self.peak_bytes = [0] * len(self.capacity)
         self.overcommitted = False
         self.streams = {}
         self.calls = []
         self.orders = []
-        self.leaving = False
+        self.draining = False
         self.cache = OrderedDict()
         self.events = []
         self.sequence = itertools.count(1)
@@ -104,8 +104,8 @@
         self.running = 0
         self.waiting = []
         self.prefill_left = 0
-        self.reports = []
-        self.frozen_before = 0
+        self.load_history = []
+        self.frozen_connections = 0
         self.connections = itertools.count(1)
         self.faults = {
             "drop_orders": 0,
@@ -119,23 +119,23 @@
             "cut": 0,
             "event_gap": False,
         }
-        self._order_numbers = itertools.count()
-        self._prefill = asyncio.Lock()
+        self._queue_sequence = itertools.count()
+        self._prefill_lock = asyncio.Lock()
         self._tasks = set()
-        self.served = Server(self._build(), port=port)
+        self.server = Server(self._build(), port=port)
 
     @property
     def url(self):
-        return self.served.url
+        return self.server.url
 
     async def start(self):
-        await self.served.start()
+        await self.server.start()
         return self
 
     async def stop(self):
         for task in list(self._tasks):
             task.cancel()
-        await self.served.stop()
+        await self.server.stop()
 
     def _spawn(self, coro):
         task = asyncio.create_task(coro)
@@ -160,50 +160,50 @@
     def used(self):
         used = [0] * len(self.capacity)
         for held in self.items.values():
-            for place in held["accelerators"]:
-                used[place] += held["bytes"]
+            for index in held["accelerators"]:
+                used[index] += held["bytes"]
         return used
 
-    def _note_memory(self):
+    def _record_memory(self):
         used = self.used()
-        self.peak = [max(pair) for pair in zip(self.peak, used, strict=True)]
-        if any(use > room for use, room in zip(used, self.capacity, strict=True)):
+        self.peak_bytes = [max(pair) for pair in zip(self.peak_bytes, used, strict=True)]
+        if any(size > limit for size, limit in zip(used, self.capacity, strict=True)):
             self.overcommitted = True
 
     async def order(self, request: Request):
         body = await read_json(request)
         self.orders.append(body)
         if self.faults["down"]:
-            await hang_up(request)
+            await abort_connection(request)
         if self.faults["drop_orders"]:
             self.faults["drop_orders"] -= 1
             await asyncio.sleep(3600)
         if self.faults["delay_orders"]:
             await asyncio.sleep(self.faults["delay_orders"])
-        outcome = await asyncio.shield(self._spawn(self.carry_out(body)))
+        outcome = await asyncio.shield(self._spawn(self.execute_order(body)))
         if self.faults["double_orders"]:
             self.faults["double_orders"] -= 1
-            outcome = await self.carry_out(body)
+            outcome = await self.execute_order(body)
         if self.faults["lose_order_answers"]:
             self.faults["lose_order_answers"] -= 1
             await asyncio.sleep(3600)
         return outcome
 
-    async def carry_out(self, body):
+    async def execute_order(self, body):
         number, key = body["order"], body["item"]
         if self.fencing:
             if number in self.done_orders:
                 await self.done_orders[number].wait()
                 return reply({"state": "done"})
-            if number < self.highest:
-                return reply({"error": "fenced", "highest": self.highest}, 409)
-            self.highest = number
+            if number < self.highest_order:
+                return reply({"error": "fenced", "highest": self.highest_order}, 409)
+            self.highest_order = number
         done = self.done_orders.setdefault(number, asyncio.Event())
         if body["action"] == "load":
             held = self.items.setdefault(
                 key, {"accelerators": body["accelerators"], "bytes": body["bytes"], "ready": False}
             )
-            self._note_memory()
+            self._record_memory()
             await self._fetch_weights()
             held["ready"] = True
         else:
@@ -240,51 +240,55 @@
         header = request.get_first_header
         request_id = (header(b"x-request-id") or b"none").decode()
         if self.faults["down"]:
-            await hang_up(request)
-        if self.fatal and self.fatal in text:
-            self._end()
-            await hang_up(request)
-        key = (header(b"x-item") or b"").decode() or self._find(body["model"])
-        if self.faults["refuse"] or self.leaving or not self.items.get(key, {}).get("ready"):
-            self.refused += 1
-            rest = [(b"retry-after", self.rest.encode())] if self.rest else []
-            return reply({"error": "refused"}, 503, [NOT_RUN, *rest])
+            await abort_connection(request)
+        if self.fatal_text and self.fatal_text in text:
+            self._crash()
+            await abort_connection(request)
+        key = (header(b"x-item") or b"").decode() or self._find_item(body["model"])
+        if self.faults["refuse"] or self.draining or not self.items.get(key, {}).get("ready"):
+            self.refusal_count += 1
+            hint = [(b"retry-after", self.retry_after.encode())] if self.retry_after else []
+            return reply({"error": "refused"}, 503, [NOT_RUN, *hint])
         self.calls.append((request_id, key))
         priority = int(header(b"x-priority") or b"5")
         stream = Stream(request_id, key, int(body.get("max_tokens") or 16), text, priority)
         self.streams[request_id] = stream
         self._spawn(self._run(stream))
         if body.get("stream"):
-            return self._respond(stream, form, 0, request.scope["abort"])
-        async for _ in self._follow(stream, 0, request.scope["abort"]):
+            return self._stream_answer(stream, form, 0, request.scope["abort"])
+        async for _ in self._read_tokens(stream, 0, request.scope["abort"]):
             pass
-        return reply(self._whole(stream, form), 200, [(b"x-request-id", self._id(stream).encode())])
+        return reply(
+            self._whole_answer(stream, form),
+            200,
+            [(b"x-request-id", self._answer_id(stream).encode())],
+        )
 
-    def _end(self):
-        self.ends += 1
+    def _crash(self):
+        self.crash_count += 1
         self.faults["down"] = True
-        asyncio.get_running_loop().call_later(self.away, self._begin_again)
+        asyncio.get_running_loop().call_later(self.restart_seconds, self._restart)
 
-    def _begin_again(self):
+    def _restart(self):
         self.boot = f"{self.name}-{time.monotonic_ns()}"
         self.faults["down"] = False
 
-    def _find(self, name):
+    def _find_item(self, name):
         return next((key for key in self.items if name_of(key) == name), "")
 
-    def _id(self, stream):
+    def _answer_id(self, stream):
         return "foreign" if self.faults["cross"] else stream.id
 
     async def _run(self, stream):
-        await self._enter(stream)
+        await self._wait_for_slot(stream)
         try:
-            await self._fill(stream)
-            for place in range(stream.wanted):
+            await self._run_prefill(stream)
+            for index in range(stream.max_tokens):
                 if stream.cancelled or self._abandoned(stream):
                     break
-                over = max(0, self.running - self.knee) / self.knee
-                await asyncio.sleep(self.step * (1 + over))
-                stream.tokens.append(f" t{place}-{zlib.crc32(stream.text.encode()) % 9973}")
+                excess = max(0, self.running - self.knee) / self.knee
+                await asyncio.sleep(self.step * (1 + excess))
+                stream.tokens.append(f" t{index}-{zlib.crc32(stream.text.encode()) % 9973}")
                 stream.notify()
         finally:
             self.running -= 1
@@ -294,11 +298,14 @@
             asyncio.get_running_loop().call_later(10, self.streams.pop, stream.id, None)
 
     def _abandoned(self, stream):
-        return not stream.readers and time.monotonic() - stream.left_at > GRACE_SECONDS
+        return (
+            not stream.readers
+            and time.monotonic() - stream.disconnected_at > ABANDONED_STREAM_SECONDS
+        )
 
-    async def _enter(self, stream):
+    async def _wait_for_slot(self, stream):
         entered = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.waiting, (-stream.priority, next(self._order_numbers), entered))
+        heapq.heappush(self.waiting, (-stream.priority, next(self._queue_sequence), entered))
         self._admit()
         await entered
 
@@ -308,11 +315,11 @@
             self.running += 1
             entered.set_result(None)
 
-    async def _fill(self, stream):
+    async def _run_prefill(self, stream):
         total = count_tokens(stream.text)
         self.prefill_left += total
         try:
-            async with self._prefill:
+            async with self._prefill_lock:
                 blocks = hash_blocks(stream.item, stream.text)
                 hits = 0
                 for block in blocks:
@@ -322,50 +329,50 @@
                     hits += 1
                 stream.cached = min(total, hits * BLOCK_TOKENS)
                 await asyncio.sleep((total - stream.cached) / self.prefill_rate)
-                self._remember(blocks[hits:])
+                self._cache_prompt(blocks[hits:])
         finally:
             self.prefill_left -= total
 
-    def _remember(self, blocks):
+    def _cache_prompt(self, blocks):
         for block in blocks:
             self.cache[block] = None
-            self._emit("add", block)
+            self._emit_cache_event("add", block)
         while len(self.cache) > self.cache_blocks:
-            gone, _ = self.cache.popitem(last=False)
-            self._emit("drop", gone)
+            evicted, _ = self.cache.popitem(last=False)
+            self._emit_cache_event("drop", evicted)
 
-    def _emit(self, what, block):
+    def _emit_cache_event(self, kind, block):
         self.last_sequence = next(self.sequence)
         if not self.faults["event_gap"]:
-            self.events.append((self.last_sequence, what, block))
+            self.events.append((self.last_sequence, kind, block))
             del self.events[:-2000]
 
-    async def _follow(self, stream, offset, abort):
-        mine = next(self.connections)
+    async def _read_tokens(self, stream, offset, abort):
+        connection = next(self.connections)
         stream.readers += 1
         try:
-            place = offset
+            index = offset
             while True:
-                if mine <= self.frozen_before:
+                if connection <= self.frozen_connections:
                     await asyncio.sleep(3600)
-                if self.faults["cut"] and place >= self.faults["cut"]:
+                if self.faults["cut"] and index >= self.faults["cut"]:
                     stream.cancelled = True
                     self.streams.pop(stream.id, None)
                     abort()
                     return
-                if place < len(stream.tokens):
-                    yield place, stream.tokens[place]
-                    place += 1
+                if index < len(stream.tokens):
+                    yield index, stream.tokens[index]
+                    index += 1
                 elif stream.done:
                     return
                 else:
                     await stream.wake.wait()
         finally:
             stream.readers -= 1
-            stream.left_at = time.monotonic()
+            stream.disconnected_at = time.monotonic()
 
     def freeze(self):
-        self.frozen_before = next(self.connections)
+        self.frozen_connections = next(self.connections)
 
     def _usage(self, stream):
         total = count_tokens(stream.text)
@@ -377,7 +384,7 @@
             "prompt_tokens_details": {"cached_tokens": stream.cached},
         }
 
-    def _whole(self, stream, form):
+    def _whole_answer(self, stream, form):
         text = "".join(stream.tokens)
         choice = {"index": 0, "finish_reason": "stop"}
         choice |= (
@@ -399,13 +406,13 @@
         }
         return base | {"choices": choices} | more
 
-    def _respond(self, stream, form, offset, abort):
+    def _stream_answer(self, stream, form, offset, abort):
         async def body():
             kind = "chat.completion.chunk" if form == "chat" else "text_completion"
-            async for place, token in self._follow(stream, offset, abort):
+            async for index, token in self._read_tokens(stream, offset, abort):
                 piece = {"delta": {"content": token}} if form == "chat" else {"text": token}
                 choice = {"index": 0, "finish_reason": None, **piece}
-                frame = self._frame(stream, kind, [choice], offset=place)
+                frame = self._frame(stream, kind, [choice], offset=index)
                 yield b"data: " + json.dumps(frame).encode() + b"\n\n"
             piece = {"delta": {}} if form == "chat" else {"text": ""}
             end = [{"index": 0, "finish_reason": "stop", **piece}]
@@ -413,7 +420,7 @@
             yield b"data: " + json.dumps(frame).encode() + b"\n\n"
             yield b"data: [DONE]\n\n"
 
-        headers = [(b"x-request-id", self._id(stream).encode())]
+        headers = [(b"x-request-id", self._answer_id(stream).encode())]
         return Response(200, headers, StreamedContent(b"text/event-stream", body))
 
     async def resume(self, request: Request):
@@ -425,8 +432,10 @@
         if request.query.get("probe"):
             return reply({"tokens": len(stream.tokens), "done": stream.done})
         if request.query.get("whole"):
-            return reply(self._whole(stream, form), 200, [(b"x-request-id", stream.id.encode())])
-        return self._respond(stream, form, offset, request.scope["abort"])
+            return reply(
+                self._whole_answer(stream, form), 200, [(b"x-request-id", stream.id.encode())]
+            )
+        return self._stream_answer(stream, form, offset, request.scope["abort"])
 
     async def cancel(self, request: Request):
         stream = self.streams.get(request.route_values["name"])
@@ -438,16 +447,16 @@
 
     async def report(self, request: Request):
         if self.faults["down"]:
-            await hang_up(request)
+            await abort_connection(request)
         since = int(request.query.get("since", ["0"])[0])
         now = time.monotonic()
-        self.reports.append((now, self._report_load()))
-        del self.reports[:-200]
-        old = [load for stamp, load in self.reports if stamp <= now - self.report_lag]
-        load = old[-1] if old else self.reports[0][1]
+        self.load_history.append((now, self._report_load()))
+        del self.load_history[:-200]
+        visible = [load for stamp, load in self.load_history if stamp <= now - self.report_lag]
+        load = visible[-1] if visible else self.load_history[0][1]
         events = [list(event) for event in self.events if event[0] > since][:512]
         items = dict(self.items)
-        body = {"boot": self.boot, "items": items, "leaving": self.leaving, "load": load}
+        body = {"boot": self.boot, "items": items, "leaving": self.draining, "load": load}
         return reply(body | {"age": self.report_lag, "events": events, "last": self.last_sequence})
 
     def _report_load(self):
@@ -464,7 +473,7 @@
         body = await read_json(request)
         if body.pop("freeze", False):
             self.freeze()
-        self.leaving = body.pop("leaving", self.leaving)
+        self.draining = body.pop("leaving", self.draining)
         self.faults.update(body)
         return reply(self.faults)
 
@@ -475,19 +484,19 @@
     def __init__(self, port=0):
         self.calls = []
         self.delay = 0.0
-        self.die_after_count = False
-        self.served = Server(self._build(), port=port)
+        self.abort_calls = False
+        self.server = Server(self._build(), port=port)
 
     @property
     def url(self):
-        return self.served.url
+        return self.server.url
 
     async def start(self):
-        await self.served.start()
+        await self.server.start()
         return self
 
     async def stop(self):
-        await self.served.stop()
+        await self.server.stop()
 
     def _build(self):
         app = make_application()
@@ -503,8 +512,8 @@
         self.calls.append((request.method, path, key))
         if self.delay:
             await asyncio.sleep(self.delay)
-        if self.die_after_count:
-            await hang_up(request)
+        if self.abort_calls:
+            await abort_connection(request)
         status = 418 if path.endswith("/teapot") else 200
         body = json.dumps({"method": request.method, "path": path, "count": len(self.calls)})
         headers = [(b"x-request-id", request_id), (b"x-echo", b"1")]
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -16,7 +16,7 @@
     return json.loads(raw) if raw else {}
 
 
-async def hang_up(request: Request):
+async def abort_connection(request: Request):
     """Cut the connection off without an answer."""
     request.scope["abort"]()
     await asyncio.sleep(3600)
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -26,21 +26,21 @@
         self.faults = {"down": False, "slow": 0.0, "lose": 0, "lag": 0.0, "hang": False}
         self.counts = {"read": 0, "write": 0, "conflict": 0}
         self.log = []
-        self._weights = asyncio.Semaphore(parallel)
-        self._load_gap = 1.0 / loads_per_second
+        self._load_slots = asyncio.Semaphore(parallel)
+        self._load_interval = 1.0 / loads_per_second
         self._next_load = 0.0
-        self.served = Server(self._build(), port=port)
+        self.server = Server(self._build(), port=port)
 
     @property
     def url(self):
-        return self.served.url
+        return self.server.url
 
     async def start(self):
-        await self.served.start()
+        await self.server.start()
         return self
 
     async def stop(self):
-        await self.served.stop()
+        await self.server.stop()
 
     def _build(self):
         app = make_application()
@@ -57,7 +57,7 @@
         route("GET", "/counts", self.get_counts)
         return app
 
-    async def _gate(self):
+    async def _apply_faults(self):
         if self.faults["hang"]:
             await asyncio.sleep(3600)
         if self.faults["slow"]:
@@ -65,21 +65,21 @@
         return reply({"error": "down"}, 503) if self.faults["down"] else None
 
     async def read(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         self.counts["read"] += 1
         keys = (await read_json(request))["keys"]
         return reply({key: self.rows[key] for key in keys if key in self.rows})
 
     async def scan(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         self.counts["read"] += 1
         prefix = (await read_json(request))["prefix"]
         return reply({k: row for k, row in self.rows.items() if k.startswith(prefix)})
 
     async def commit(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         body = await read_json(request)
         self.counts["write"] += 1
@@ -99,31 +99,31 @@
         return reply({"version": self.version})
 
     async def get_object(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         self.counts["read"] += 1
         body = self.objects.get(request.url.path.decode())
         return reply(b"", 404) if body is None else reply(body)
 
     async def put_object(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         self.counts["write"] += 1
         self.objects[request.url.path.decode()] = await request.read()
         return reply({})
 
     async def list_hosts(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
-        horizon = time.monotonic() - self.faults["lag"]
-        seen = {}
+        cutoff = time.monotonic() - self.faults["lag"]
+        latest = {}
         for stamp, row in self.host_history:
-            if stamp <= horizon:
-                seen[row["id"]] = row
-        return reply(list(seen.values()))
+            if stamp <= cutoff:
+                latest[row["id"]] = row
+        return reply(list(latest.values()))
 
     async def add_host(self, request: Request):
-        if refused := await self._gate():
+        if refused := await self._apply_faults():
             return refused
         row = await read_json(request)
         self.host_history.append((time.monotonic(), row))
@@ -132,16 +132,16 @@
     async def weights(self, request: Request):
         """Answer when the bytes are through: one start each gap, so many at full speed."""
         seconds = float(request.query.get("seconds", ["0"])[0])
-        async with self._weights:
+        async with self._load_slots:
             now = time.monotonic()
             start = max(now, self._next_load)
-            self._next_load = start + self._load_gap
+            self._next_load = start + self._load_interval
             await asyncio.sleep(start - now + seconds)
         return reply({})
 
     async def set_faults(self, request: Request):
         body = await read_json(request)
-        self._load_gap = body.pop("load_gap", self._load_gap)
+        self._load_interval = body.pop("load_gap", self._load_interval)
         self.faults.update(body)
         return reply(self.faults)
 
--- a/tests/standins/runner.py
+++ b/tests/standins/runner.py
@@ -20,10 +20,10 @@
 import asyncio
 import json
 
-EVENTS = 6
+EVENTS_PER_STREAM = 6
 # Unix milliseconds of a runner's first start, and between two starts.
-FIRST_BORN = 1_700_000_000_000
-LIFE_MS = 60_000
+FIRST_START_MS = 1_700_000_000_000
+RESTART_INTERVAL_MS = 60_000
 
 
 class RunnerStandin:
@@ -32,26 +32,26 @@
         self.models = {model: set(adapters) for model in models}
         self.zone = "north"
         self.seq = 0
-        self.born = FIRST_BORN
+        self.started_ms = FIRST_START_MS
         self.script = []
-        self.seen = []
-        self.ran = []
-        self.left = []
-        self.accepted = 0
-        self.calls = []
-        self.heads = []
-        self.rest = 0.0
-        self.rests = []
-        self.says = {}
+        self.requests = []
+        self.executed = []
+        self.disconnected = []
+        self.connection_count = 0
+        self.call_times = []
+        self.request_times = []
+        self.retry_after = 0.0
+        self.refusals = []
+        self.extra_headers = {}
         self.orders = []
-        self.events = EVENTS
-        self.hold = None
-        self.pace = 0.0
-        self.most_held = len(self.models)
+        self.events = EVENTS_PER_STREAM
+        self.halfway_event = None
+        self.delay_seconds = 0.0
+        self.max_models_held = len(self.models)
         self.on_change = lambda: None
-        self.fatal = set()
-        self.ended = False
-        self.on_end = lambda: None
+        self.fatal_bodies = set()
+        self.crashed = False
+        self.on_crash = lambda: None
         self._tasks = set()
         self._writers = set()
 
@@ -66,17 +66,17 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def end(self):
+    def crash(self):
         """End as a process that crashes."""
-        self.ended = True
+        self.crashed = True
         self._server.close()
         for writer in self._writers:
             writer.transport.abort()
-        self.on_end()
+        self.on_crash()
 
     def restart(self):
         """Start again under the same id, and register."""
-        self.born += LIFE_MS
+        self.started_ms += RESTART_INTERVAL_MS
         self.seq = 0
         self.models = {}
         self.on_change()
@@ -87,17 +87,17 @@
             for name, adapters in self.models.items()
         ]
         row = {"service": service, "address": self.address, "zone": self.zone, "slots": 8}
-        row |= {"version": "v1", "cold_remaining_ms": 0, "seq": 1, "born": self.born}
+        row |= {"version": "v1", "cold_remaining_ms": 0, "seq": 1, "born": self.started_ms}
         return row | {"state": "ready", "models": rows} | more
 
     async def _serve(self, reader, writer):
         task = asyncio.current_task()
         self._tasks.add(task)
         self._writers.add(writer)
-        self.accepted += 1
-        born = self.born
+        self.connection_count += 1
+        started_ms = self.started_ms
         try:
-            while await self._one(reader, writer, born):
+            while await self._handle_request(reader, writer, started_ms):
                 continue
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
@@ -106,29 +106,29 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _one(self, reader, writer, born):
+    async def _handle_request(self, reader, writer, started_ms):
         raw = await reader.readuntil(b"\r\n\r\n")
-        if born != self.born:
+        if started_ms != self.started_ms:
             await reader.read()
             return False
-        line, *rows = raw.decode("latin-1").split("\r\n")
-        method, target, _ = line.split(" ")
-        headers = dict(row.lower().split(": ", 1) for row in rows if row)
+        request_line, *header_lines = raw.decode("latin-1").split("\r\n")
+        method, target, _ = request_line.split(" ")
+        headers = dict(row.lower().split(": ", 1) for row in header_lines if row)
         body = await reader.readexactly(int(headers.get("content-length", 0)))
-        self.calls.append(asyncio.get_running_loop().time())
-        self.heads.append((self.calls[-1], headers.get("x-attempt-id", "")))
+        self.call_times.append(asyncio.get_running_loop().time())
+        self.request_times.append((self.call_times[-1], headers.get("x-attempt-id", "")))
         if target.startswith("/v1/"):
             status, answer = self._control(target, headers, body)
-            writer.write(frame(status, json.dumps(answer).encode(), self.says))
+            writer.write(frame(status, json.dumps(answer).encode(), self.extra_headers))
             await writer.drain()
             return True
-        self.seen.append((method, target, headers, body))
+        self.requests.append((method, target, headers, body))
         return await self._answer(reader, writer, headers, body)
 
     def _control(self, target, headers, body):
         if target == "/v1/report":
             models = self.entry("")["models"]
-            return 200, {"seq": self.seq, "busy": False, "models": models, "born": self.born}
+            return 200, {"seq": self.seq, "busy": False, "models": models, "born": self.started_ms}
         order = json.loads(body)
         self.orders.append(order)
         if order["expected"] != self.seq:
@@ -139,51 +139,53 @@
             self.models.pop(order["model"])
         elif "adapter" in order:
             held.add(order["adapter"])
-        self.most_held = max(self.most_held, len(self.models))
+        self.max_models_held = max(self.max_models_held, len(self.models))
         self.on_change()
         return 202, {}
 
     async def _answer(self, reader, writer, headers, body):
-        step = self.script.pop(0) if self.script else "serve"
+        behavior = self.script.pop(0) if self.script else "serve"
         attempt = headers.get("x-attempt-id", "")
         if headers.get("x-target-instance") != self.name:
-            writer.write(frame(421, b"", self.says))
+            writer.write(frame(421, b"", self.extra_headers))
             return True
         if "x-model" in headers and not self._holds(headers["x-model"]):
-            writer.write(frame(421, b"", self.says | {"x-attempt-id": attempt}))
+            writer.write(frame(421, b"", self.extra_headers | {"x-attempt-id": attempt}))
             return True
-        if step == "refuse":
-            asked = {"retry-after": str(self.rest)} if self.rest else {}
+        if behavior == "refuse":
+            hint = {"retry-after": str(self.retry_after)} if self.retry_after else {}
             port = writer.get_extra_info("peername")[1]
-            self.rests.append((asyncio.get_running_loop().time(), attempt, self.rest, port))
-            writer.write(frame(503, b"", self.says | asked | {"x-not-executed": "1"}))
+            self.refusals.append(
+                (asyncio.get_running_loop().time(), attempt, self.retry_after, port)
+            )
+            writer.write(frame(503, b"", self.extra_headers | hint | {"x-not-executed": "1"}))
             return True
-        self.ran.append(attempt)
-        if body in self.fatal:
-            self.end()
+        self.executed.append(attempt)
+        if body in self.fatal_bodies:
+            self.crash()
             return False
-        if step == "refuse another":
+        if behavior == "refuse another":
             writer.write(frame(503, b"", {"x-not-executed": "1", "x-attempt-id": "another"}))
             return True
-        await asyncio.sleep(0 if "x-model" in headers else self.pace)
-        if step == "silent":
+        await asyncio.sleep(0 if "x-model" in headers else self.delay_seconds)
+        if behavior == "silent":
             return await self._wait_for_close(reader, attempt)
-        signed = self.says | {"x-attempt-id": attempt}
+        signed = self.extra_headers | {"x-attempt-id": attempt}
         signed["x-response-signature"] = f"by {self.name}"
-        if step == "foreign":
+        if behavior == "foreign":
             signed["x-attempt-id"] = "another"
-        if step == "unsigned":
+        if behavior == "unsigned":
             del signed["x-response-signature"]
-        if step == "error":
+        if behavior == "error":
             writer.write(frame(500, b"failed", signed))
             return True
         if "x-model" in headers:
-            return await self._stream(reader, writer, headers, signed, step)
+            return await self._stream(reader, writer, headers, signed, behavior)
         raw = frame(200, b"whole answer", signed)
-        if step == "cut":
+        if behavior == "cut":
             writer.write(raw[:-4])
             return False
-        writer.write(raw + (raw if step == "extra" else b""))
+        writer.write(raw + (raw if behavior == "extra" else b""))
         await writer.drain()
         return True
 
@@ -191,7 +193,7 @@
         model, _, adapter = item.partition("/")
         return model in self.models and (not adapter or adapter in self.models[model])
 
-    async def _stream(self, reader, writer, headers, signed, step):
+    async def _stream(self, reader, writer, headers, signed, behavior):
         first = int(headers.get("last-event-id", 0)) + 1
         rows = "".join(f"{name}: {value}\r\n" for name, value in signed.items())
         writer.write(
@@ -200,33 +202,33 @@
         )
         for number in range(first, self.events + 1):
             event = b"id: %d\ndata: %s %d\n\n" % (number, self.name.encode(), number)
-            if step == "cut" and number > self.events // 2:
+            if behavior == "cut" and number > self.events // 2:
                 half = event[: len(event) // 2]
                 writer.write(b"%x\r\n%s\r\n" % (len(half), half))
                 await writer.drain()
                 return False
-            halfway = self.hold is not None and number == self.events // 2
-            if halfway and not await self._held(reader, signed["x-attempt-id"]):
+            halfway = self.halfway_event is not None and number == self.events // 2
+            if halfway and not await self._wait_halfway(reader, signed["x-attempt-id"]):
                 return False
-            await asyncio.sleep(self.pace)
+            await asyncio.sleep(self.delay_seconds)
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
         writer.write(b"0\r\n\r\n")
         await writer.drain()
         return True
 
-    async def _held(self, reader, attempt):
+    async def _wait_halfway(self, reader, attempt):
         """Wait for the test's word; False when the other side has left before."""
         closed = asyncio.ensure_future(reader.read(1))
-        go = asyncio.ensure_future(self.hold.wait())
-        await asyncio.wait({closed, go}, return_when=asyncio.FIRST_COMPLETED)
+        resumed = asyncio.ensure_future(self.halfway_event.wait())
+        await asyncio.wait({closed, resumed}, return_when=asyncio.FIRST_COMPLETED)
         if closed.done():
-            self.left.append(attempt)
+            self.disconnected.append(attempt)
         return not closed.done()
 
     async def _wait_for_close(self, reader, attempt):
         await reader.read(1)
-        self.left.append(attempt)
+        self.disconnected.append(attempt)
         return False
 
 
--- a/tests/standins/tables.py
+++ b/tests/standins/tables.py
@@ -12,9 +12,9 @@
 from blacksheep import Request
 
 from peridotdock.serving import Server, add_route, make_application
-from tests.standins.http import hang_up, read_json, reply
+from tests.standins.http import abort_connection, read_json, reply
 
-MOST_HELD_BACK = 1.0
+MAX_FEED_WAIT_SECONDS = 1.0
 
 
 def now_ms():
@@ -27,41 +27,41 @@
         self.version = 0
         self.faults = {"down": False, "lose": 0, "forget": 0}
         self.calls = []
-        self._dropped = {}
+        self._tombstones = {}
         self._changed = asyncio.Event()
         app = make_application()
         add_route(app, "POST", "/v1/rows-tx", self.transact)
         add_route(app, "GET", "/v1/rows-get", self.get)
         add_route(app, "GET", "/v1/rows-feed", self.feed)
-        self.served = Server(app)
+        self.server = Server(app)
 
     @property
     def address(self):
-        return self.served.address
+        return self.server.address
 
     async def start(self):
-        await self.served.start()
+        await self.server.start()
         return self
 
     async def stop(self):
         self._changed.set()
-        await self.served.stop()
+        await self.server.stop()
 
     def put(self, table, key, value):
         """Write a row as the operators and the endpoints do."""
         self.version += 1
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.rows[(table, key)] = (base64.b64encode(raw).decode(), self.version)
-        self._dropped.pop((table, key), None)
-        self._tell()
+        self._tombstones.pop((table, key), None)
+        self._notify_feeds()
 
     def remove(self, table, key):
         self.version += 1
         self.rows.pop((table, key), None)
-        self._dropped[(table, key)] = self.version
-        self._tell()
+        self._tombstones[(table, key)] = self.version
+        self._notify_feeds()
 
-    def _tell(self):
+    def _notify_feeds(self):
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -84,7 +84,7 @@
             self.remove(row["table"], row["key"])
         if self.faults["lose"]:
             self.faults["lose"] -= 1
-            await hang_up(request)
+            await abort_connection(request)
         return reply({"ver": self.version, "now_ms": now_ms()})
 
     async def get(self, request: Request):
@@ -113,7 +113,9 @@
         rows = self._since(table, after)
         if not rows:
             try:
-                async with asyncio.timeout(min(MOST_HELD_BACK, int(query["wait_ms"]) / 1000)):
+                async with asyncio.timeout(
+                    min(MAX_FEED_WAIT_SECONDS, int(query["wait_ms"]) / 1000)
+                ):
                     await self._changed.wait()
             except TimeoutError:
                 rows = []
@@ -124,13 +126,13 @@
 
     def _since(self, table, after):
         rows = [
-            self._row(*place)
-            for place, (_, ver) in self.rows.items()
-            if place[0] == table and ver > after
+            self._row(*row_key)
+            for row_key, (_, ver) in self.rows.items()
+            if row_key[0] == table and ver > after
         ]
         rows += [
             {"table": name, "part": "", "key": key, "ver": ver, "tombstone": True}
-            for (name, key), ver in self._dropped.items()
+            for (name, key), ver in self._tombstones.items()
             if name == table and ver > after
         ]
         return sorted(rows, key=lambda row: row["ver"])
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from peridotdock.core import run_daemon
 from peridotdock.output.formats import format_table
 from peridotdock.status import ExitStatus
-from tests.cluster import OPERATOR, Cluster
+from tests.cluster import OPERATOR_TOKEN, Cluster
 
 
 class Terminal(io.StringIO):
@@ -44,7 +44,7 @@
         path.write_text(json.dumps(document))
         return str(path)
 
-    async def peridotdock(self, *args, terminal=False, host=0, token=OPERATOR):
+    async def peridotdock(self, *args, terminal=False, host=0, token=OPERATOR_TOKEN):
         url = self.cluster.hosts[host].server.url
         options = ("--host", url, "--operator-token", token)
         return await asyncio.to_thread(invoke, *options, *args, terminal=terminal)
@@ -55,7 +55,7 @@
         self.assertEqual((status, json.loads(out)["status"]), (0, "valid"))
         status, out, _ = await self.peridotdock("manifest", "publish", path)
         self.assertEqual((status, json.loads(out)["generation"]), (0, 1))
-        await self.cluster.wait_true(1)
+        await self.cluster.wait_in_force(1)
         status, out, _ = await self.peridotdock("manifest", "status", host=1)
         self.assertEqual((status, json.loads(out)["true"]), (0, True))
         status, out, _ = await self.peridotdock("manifest", "publish", path)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -32,7 +32,7 @@
         return next(e for e in self.cluster.engines if e.running)
 
     async def start_stream(self, **more):
-        ask = self.cluster.ask(stream=True, max_tokens=60, **more)
+        ask = self.cluster.chat(stream=True, max_tokens=60, **more)
         task = asyncio.create_task(ask)
         await wait_for(
             lambda: any(
@@ -61,7 +61,7 @@
         The host fetches the answer over a new connection, and the request runs once.
         """
         head = {"idempotency-key": "scene-0001"}
-        task = asyncio.create_task(self.cluster.ask(max_tokens=30, headers=head))
+        task = asyncio.create_task(self.cluster.chat(max_tokens=30, headers=head))
         await wait_for(lambda: any(e.running for e in self.cluster.engines), "a request at work")
         self.busy_engine().freeze()
         status, _, body = await task
@@ -76,7 +76,7 @@
         """
         for engine in self.cluster.engines:
             engine.faults["cut"] = 20
-        status, _, raw = await self.cluster.ask(stream=True, max_tokens=60)
+        status, _, raw = await self.cluster.chat(stream=True, max_tokens=60)
         texts, _, whole, errors = read_stream(raw)
         self.assertEqual((status, whole), (200, False))
         self.assertEqual(len(texts), 20)
@@ -90,7 +90,7 @@
         for fault in ("cross", "cross_frames"):
             self.cluster.engines[0].faults[fault] = True
             for stream in (True, False, True, False, True, True):
-                status, _, raw = await self.cluster.ask(stream=stream)
+                status, _, raw = await self.cluster.chat(stream=stream)
                 self.assertEqual(status, 200)
                 self.assertNotIn("foreign", str(raw))
                 self.assertTrue(not stream or read_stream(raw)[2])
@@ -98,9 +98,9 @@
             self.cluster.hosts[0].host.fleet.states["e0"].note_success()
 
     async def test_a_dead_engine_costs_a_retry_not_an_answer(self):
-        await self.cluster.engines[0].served.stop()
+        await self.cluster.engines[0].server.stop()
         for _ in range(6):
-            status, _, _ = await self.cluster.ask()
+            status, _, _ = await self.cluster.chat()
             self.assertEqual(status, 200)
 
     async def test_a_disconnected_caller_frees_the_engine(self):
@@ -115,7 +115,7 @@
         await wait_for(lambda: self.cluster.hosts[0].entry.in_flight == 0, "no request in work")
 
     async def test_a_deadline_ends_a_request_at_once(self):
-        ask = self.cluster.ask(max_tokens=5000, headers={"x-deadline-ms": "200"})
+        ask = self.cluster.chat(max_tokens=5000, headers={"x-deadline-ms": "200"})
         status, _, body = await ask
         self.assertEqual((status, body["error"]["code"]), (504, "deadline"))
         engines = self.cluster.engines
@@ -124,18 +124,18 @@
     async def test_an_engine_backoff_is_respected(self):
         """An engine rejects requests with a retry delay, and the host keeps sending to it."""
         resting, other = self.cluster.engines
-        resting.faults["refuse"], resting.rest = True, "30"
+        resting.faults["refuse"], resting.retry_after = True, "30"
         for _ in range(20):
-            status, _, _ = await self.cluster.ask()
+            status, _, _ = await self.cluster.chat()
             self.assertEqual(200, status)
-        self.assertLessEqual(resting.refused, 1)
-        other.faults["refuse"], other.rest = True, "30"
-        status, headers, _ = await self.cluster.ask()
+        self.assertLessEqual(resting.refusal_count, 1)
+        other.faults["refuse"], other.retry_after = True, "30"
+        status, headers, _ = await self.cluster.chat()
         self.assertEqual(503, status)
-        status, headers, _ = await self.cluster.ask()
+        status, headers, _ = await self.cluster.chat()
         self.assertEqual(503, status)
         self.assertGreater(float(headers["retry-after"]), 20)
-        self.assertLessEqual(other.refused, 1)
+        self.assertLessEqual(other.refusal_count, 1)
 
     async def test_retries_stay_within_their_budget(self):
         """
@@ -150,7 +150,7 @@
         for _ in range(asks):
             for engine in self.cluster.engines:
                 engine.faults["cross"] = True
-            await self.cluster.ask(max_tokens=1)
+            await self.cluster.chat(max_tokens=1)
         total = sum(s.value for m in sends.collect() for s in m.samples if s.name.endswith("total"))
         self.assertGreater(total, asks)
         self.assertLessEqual(total, asks * 1.1 + 10)
@@ -179,12 +179,12 @@
         return status, ran, len(self.service.calls) - before
 
     async def test_died_before_the_connection(self):
-        await self.service.served.stop()
+        await self.service.server.stop()
         status, ran, count = await self.ask()
         self.assertEqual((status, ran, count), (503, "no", 0))
 
     async def test_died_while_it_ran(self):
-        self.service.die_after_count = True
+        self.service.abort_calls = True
         status, ran, count = await self.ask()
         self.assertEqual((status, ran, count), (502, "maybe", 1))
 
@@ -194,7 +194,7 @@
         to be dead. The service has already counted the first call, so it would run twice.
         """
         await self.cluster.call("/warm", method="PUT")
-        self.service.die_after_count = True
+        self.service.abort_calls = True
         for method in ("PUT", "DELETE"):
             status, ran, count = await self.ask(method=method)
             self.assertEqual((status, ran, count), (502, "maybe", 1), method)
@@ -205,7 +205,7 @@
         self.assertEqual((status, ran, count), (504, "maybe", 1))
 
     async def test_a_call_that_may_be_repeated_is(self):
-        self.service.die_after_count = True
+        self.service.abort_calls = True
         before = len(self.service.calls)
         await self.cluster.call("/read/x", method="GET")
         self.assertGreaterEqual(len(self.service.calls) - before, 1)
@@ -306,12 +306,12 @@
     async def test_a_key_that_was_not_run_may_be_tried_again(self):
         """A service is unreachable, so the call is not run. Once it is back, the key runs once."""
         key = await self.prefix() + "abcdefgh"
-        port = int(self.service.served.address.split(":")[1])
-        await self.service.served.stop()
+        port = int(self.service.server.address.split(":")[1])
+        await self.service.server.stop()
         status, body = await self.bind(key)
         self.assertEqual((status, body["error"]["ran"]), (503, "no"))
-        self.service.served = type(self.service.served)(self.service._build(), port=port)
-        await self.service.served.start()
+        self.service.server = type(self.service.server)(self.service._build(), port=port)
+        await self.service.server.start()
 
         async def bound():
             return (await self.bind(key))[0] == 200
@@ -345,18 +345,18 @@
             document["models"][0]["copies"] = 6
             await cluster.publish(document)
             for engine in cluster.engines:
-                engine.fatal = "fatal"
+                engine.fatal_text = "fatal"
             messages = [{"role": "user", "content": "a fatal prompt"}]
             for number in range(12):
-                await cluster.ask(host=number % 2, messages=messages)
+                await cluster.chat(host=number % 2, messages=messages)
                 await asyncio.sleep(0.5)
-            ends = [engine.ends for engine in cluster.engines]
+            ends = [engine.crash_count for engine in cluster.engines]
             # Three ends, and two sends for each of three attempts until the third end is known.
             self.assertLessEqual(sum(ends), 3 + 3, ends)
-            status, headers, answer = await cluster.ask(messages=messages)
+            status, headers, answer = await cluster.chat(messages=messages)
             self.assertEqual((503, "blocked"), (status, answer["error"]["code"]))
             self.assertEqual("false", headers["x-should-retry"])
-            status, _, _ = await cluster.ask(host=1)
+            status, _, _ = await cluster.chat(host=1)
             self.assertEqual(200, status)
 
     async def test_the_last_host_to_drain_refuses_blocked_requests(self):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -115,7 +115,7 @@
     def begin(self, fates):
         self.world = World(self.fencing)
         copies = [Move("load", engine, "m0@1", (0,)) for engine in ("e0", "e1")]
-        self.world.endpoints.fates = fates
+        self.world.endpoints.deliveries = fates
         for _ in range(4):
             self.world.reconcile("h0", copies)
             self.world.clock.advance(RESEND_SECONDS)
@@ -146,7 +146,7 @@
 
     @rule(fates=st.lists(ORDER_FATES, min_size=1, max_size=4))
     def inject_order_faults(self, fates):
-        self.world.endpoints.fates = fates
+        self.world.endpoints.deliveries = fates
 
     @rule(commits=st.lists(COMMIT_FAULTS, min_size=1, max_size=4))
     def inject_platform_faults(self, commits):
@@ -154,19 +154,19 @@
 
     @rule()
     def apply_late_writes(self):
-        self.world.platform.land_late()
+        self.world.platform.apply_delayed()
 
     @rule(index=st.integers(0, 5))
     def deliver_late_order(self, index):
-        if self.world.endpoints.flying:
+        if self.world.endpoints.undelivered:
             self.world.endpoints.deliver(index, LATENESS_SECONDS)
 
     @rule(host=HOSTS, moves=st.lists(MOVES, max_size=2), pauses=st.lists(PAUSES, max_size=3))
     def hand_over(self, host, moves, pauses):
         """A host is paused, the other one takes over and works; the paused one wakes later."""
         other = "h1" if host == "h0" else "h0"
-        self.world.lease_table.gone.add(self.incarnations[host])
-        self.world.lease_table.gone.discard(self.incarnations[other])
+        self.world.lease_table.lapsed.add(self.incarnations[host])
+        self.world.lease_table.lapsed.discard(self.incarnations[other])
         self.plan(other, moves, [0.1, *pauses])
 
     @rule(engine=st.sampled_from(["e0", "e1"]))
@@ -174,8 +174,8 @@
         url = self.world.accepted.engines[engine].url
         self.world.engine(engine).restart()
         # A restart closes the engine's connections: what was under way to it is gone.
-        flying = self.world.endpoints.flying
-        self.world.endpoints.flying = [row for row in flying if row[1] != url]
+        flying = self.world.endpoints.undelivered
+        self.world.endpoints.undelivered = [row for row in flying if row[1] != url]
 
     @invariant()
     def every_engine_fits(self):
@@ -222,7 +222,7 @@
         """
         world = self.world
         world.reconcile("h0")
-        world.endpoints.fates = ["late"]
+        world.endpoints.deliveries = ["late"]
         self.load("m0@1")
         world.clock.advance(RESEND_SECONDS)
         self.load("m0@1")
@@ -248,13 +248,13 @@
         self.world = world
         world.reconcile("h0")
         self.load("m0@1", "e1")
-        world.endpoints.fates = ["late"]
+        world.endpoints.deliveries = ["late"]
         world.reconcile("h0", [Move("load", "e0", "m0@1", (0,))])
         for _ in range(3):
             world.reconcile("h0", [Move("unload", "e0", "m0@1")])
-        world.endpoints.fates = ["late"]
+        world.endpoints.deliveries = ["late"]
         world.reconcile("h0", [Move("load", "e0", "m1@1", (0,))])
-        while world.endpoints.flying:
+        while world.endpoints.undelivered:
             world.endpoints.deliver(0, LATENESS_SECONDS)
         self.assertTrue(world.engine("e0").fits(), world.engine("e0").items)
 
@@ -315,7 +315,7 @@
         """
         world = self.world
         world.reconcile("h0")
-        world.lease_table.gone.add(world.controllers["h0"]._ctx.incarnation)
+        world.lease_table.lapsed.add(world.controllers["h0"]._ctx.incarnation)
         world.reconcile("h1")
         world.reconcile("h1", [Move("load", "e0", "m0@1", (0,))])
         world.reconcile("h0", [Move("load", "e0", "m1@1", (0,))])
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -187,7 +187,7 @@
                             await conn.recv()
                             self.fail("an answer to rubbish")
             self.assertEqual(host.mesh.peers(), {"h1"})
-            self.assertEqual((await cluster.ask())[0], 200)
+            self.assertEqual((await cluster.chat())[0], 200)
             names = [event.name for event in cluster.hosts[0].ctx.timeline.select(Filter())]
             self.assertIn("peer_refused", names)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -4,7 +4,7 @@
 import json
 import unittest
 
-from tests.cluster import OPERATOR, Cluster, read_stream, wait_for
+from tests.cluster import OPERATOR_TOKEN, Cluster, read_stream, wait_for
 
 
 class Manifests(unittest.IsolatedAsyncioTestCase):
@@ -28,7 +28,8 @@
         first = self.cluster.manifest()
         second = first | {"release": "other", "sequence": first["sequence"] + 1}
         answers = await asyncio.gather(
-            self.cluster.operate("manifest", first, 0), self.cluster.operate("manifest", second, 1)
+            self.cluster.call_admin("manifest", first, 0),
+            self.cluster.call_admin("manifest", second, 1),
         )
         statuses = sorted(status for status, _ in answers)
         self.assertEqual(statuses, [200, 409])
@@ -37,7 +38,7 @@
         self.assertIn(lost["error"]["code"], ("manifest_conflict", "manifest_stale"))
         if lost["error"]["code"] == "manifest_conflict":
             self.assertIn(won["digest"], lost["error"]["message"])
-        await self.cluster.wait_true(won["generation"])
+        await self.cluster.wait_in_force(won["generation"])
 
     async def test_the_same_again_changes_nothing(self):
         document = self.cluster.manifest()
@@ -48,7 +49,7 @@
     async def test_an_older_release_never_replaces_a_newer_one(self):
         await self.cluster.publish(self.cluster.manifest(sequence=7))
         older = self.cluster.manifest(sequence=6, based_on=1)
-        status, body = await self.cluster.operate("manifest", older)
+        status, body = await self.cluster.call_admin("manifest", older)
         self.assertEqual((status, body["error"]["code"]), (409, "manifest_stale"))
 
     async def test_a_lost_commit_answer_is_made_good(self):
@@ -64,7 +65,7 @@
     async def test_down_is_not_accepted(self):
         await self.cluster.publish()
         self.cluster.platform.faults["down"] = True
-        status, body = await self.cluster.operate("manifest", self.cluster.manifest())
+        status, body = await self.cluster.call_admin("manifest", self.cluster.manifest())
         self.assertEqual((status, body["error"]["code"]), (503, "platform_down"))
         self.cluster.platform.faults["down"] = False
         self.assertEqual(self.generations(), [1, 1])
@@ -74,7 +75,7 @@
         bad["models"][0]["bytes"] = -1
         bad["callers"][0].pop("id")
         bad["surprise"] = True
-        status, body = await self.cluster.operate("manifest", bad)
+        status, body = await self.cluster.call_admin("manifest", bad)
         self.assertEqual((status, body["error"]["code"]), (422, "manifest_invalid"))
         text = "\n".join(body["errors"])
         for part in ("$.models[0].bytes", "$.callers[0]", "surprise"):
@@ -83,7 +84,7 @@
     async def test_a_floor_that_cannot_fit_is_refused_with_the_sum(self):
         document = self.cluster.manifest()
         document["models"] = [document["models"][0] | {"id": f"m{n}"} for n in range(9)]
-        status, body = await self.cluster.operate("manifest", document)
+        status, body = await self.cluster.call_admin("manifest", document)
         self.assertEqual(status, 422)
         self.assertIn("the floor needs 270 bytes of 200", body["errors"][0])
 
@@ -119,7 +120,7 @@
         changing = asyncio.create_task(self.cluster.publish(document))
         statuses = []
         while not changing.done():
-            statuses.append((await self.cluster.ask(host=len(statuses) % 2))[0])
+            statuses.append((await self.cluster.chat(host=len(statuses) % 2))[0])
         await changing
         self.assertEqual(set(statuses), {200})
         items = self.cluster.engines[0].items
@@ -141,11 +142,11 @@
             await wait_for(lambda: new.host.ready(), "the new host ready")
             await wait_for(lambda: new.host.fleet.holders("m0@1"), "endpoints known")
             for host in range(3):
-                status, _, _ = await cluster.ask(host=host)
+                status, _, _ = await cluster.chat(host=host)
                 self.assertEqual(status, 200)
             lapse = cluster.settings["lease_seconds"] * 2
             await asyncio.sleep(lapse)
-            self.assertEqual((await cluster.ask(host=2))[0], 200)
+            self.assertEqual((await cluster.chat(host=2))[0], 200)
             cluster.platform.faults["down"] = False
             hosts = [d.host for d in cluster.hosts]
             await wait_for(lambda: all(h.lease.valid() for h in hosts), "leases back")
@@ -158,7 +159,7 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             for _ in range(5):
-                self.assertEqual((await cluster.ask())[0], 200)
+                self.assertEqual((await cluster.chat())[0], 200)
             self.assertLess(loop.time() - began, 1.0)
 
 
@@ -174,7 +175,7 @@
             await cluster.publish(document)
             cluster.platform.faults["lag"] = 60.0
             leaving, other = cluster.engines
-            leaving.leaving = True
+            leaving.draining = True
             loop = asyncio.get_running_loop()
             until = loop.time() + 2.0
             hosts = [d.host for d in cluster.hosts]
@@ -182,7 +183,7 @@
             self.assertLess(loop.time(), until)
             before = len(leaving.calls)
             for n in range(10):
-                self.assertEqual((await cluster.ask(host=n % 2))[0], 200)
+                self.assertEqual((await cluster.chat(host=n % 2))[0], 200)
             self.assertEqual(len(leaving.calls), before)
             self.assertGreaterEqual(len(other.calls), 10)
 
@@ -195,7 +196,7 @@
         async with Cluster(engines=1, hosts=2, models=1, settings=keep, step=0.02) as cluster:
             await cluster.publish()
             streams = [
-                asyncio.create_task(cluster.ask(host=0, stream=True, max_tokens=80))
+                asyncio.create_task(cluster.chat(host=0, stream=True, max_tokens=80))
                 for _ in range(4)
             ]
             await wait_for(lambda: cluster.hosts[0].entry.in_flight == 4, "streams under way")
@@ -214,7 +215,7 @@
             )
             late = asyncio.get_running_loop().time() - left_at
             self.assertLess(late, keep["address_seconds"], "the word came after the time to live")
-            self.assertEqual((await cluster.ask(host=0))[0], 200)
+            self.assertEqual((await cluster.chat(host=0))[0], 200)
             urls = [row["url"] for row in (await cluster.addresses(1))["addresses"]]
             self.assertEqual(urls, [cluster.hosts[1].server.url])
             for status, _, raw in await asyncio.gather(*streams):
@@ -276,7 +277,7 @@
         status = 0
         for url in urls:
             try:
-                status = (await cluster.ask(url=url))[0]
+                status = (await cluster.chat(url=url))[0]
             except OSError:
                 continue
             if status == 200:
@@ -343,9 +344,9 @@
     async def test_operators_need_their_token(self):
         async with Cluster(engines=1, hosts=1) as cluster:
             for token in ("", "wrong", "test-token"):
-                status, body = await cluster.operate("hosts", token=token)
+                status, body = await cluster.call_admin("hosts", token=token)
                 self.assertEqual((status, body["error"]["code"]), (401, "operator_refused"))
-            status, body = await cluster.operate("hosts", token=OPERATOR)
+            status, body = await cluster.call_admin("hosts", token=OPERATOR_TOKEN)
             self.assertEqual(status, 200)
 
 
@@ -383,8 +384,8 @@
                     self.assertEqual(resp.status, expected, (body[:40], answer))
                     self.assertEqual(answer["error"]["ran"], "no")
             for more in self.HEADERS:
-                status, _, body = await cluster.ask(headers=more)
+                status, _, body = await cluster.chat(headers=more)
                 self.assertEqual((status, body["error"]["code"]), (400, "bad_request"), more)
             self.assertEqual(sum(len(e.calls) for e in cluster.engines), 0)
-            self.assertEqual((await cluster.ask())[0], 200)
+            self.assertEqual((await cluster.chat())[0], 200)
             self.assertEqual(cluster.hosts[0].entry.in_flight, 0)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -67,14 +67,14 @@
                 await daemon.host.mesh.stop()
                 await daemon.server.stop()
                 cluster.hosts.remove(daemon)
-                status, _, _ = await cluster.ask(url=urls[-1])
+                status, _, _ = await cluster.chat(url=urls[-1])
                 self.assertEqual(status, 200)
 
     async def test_concurrent_streams_are_not_mixed_up(self):
         async with Cluster(hosts=2, step=0.0005) as cluster:
             await cluster.publish()
             asks = [
-                cluster.ask(
+                cluster.chat(
                     model=f"m{n % 2}",
                     host=n % 2,
                     token=OTHER_TOKEN if n % 3 else TOKEN,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -47,7 +47,7 @@
         await self.update_plan(self.first)
         await self.update_plan(self.second)
         self.assertEqual(self.holder(), self.first._ctx.incarnation)
-        self.lease_table.gone.add(self.first._ctx.incarnation)
+        self.lease_table.lapsed.add(self.first._ctx.incarnation)
         await self.update_plan(self.second)
         self.assertEqual(self.holder(), self.second._ctx.incarnation)
 
@@ -57,7 +57,7 @@
         made from old news and still believes in its lease. Its write must not go through.
         """
         await self.update_plan(self.first)
-        self.lease_table.gone.add(self.first._ctx.incarnation)
+        self.lease_table.lapsed.add(self.first._ctx.incarnation)
         await self.update_plan(self.second)
         self.ledgers = {}
         self.clock.advance(100)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -129,7 +129,7 @@
         platform.faults = ["late"]
         asyncio.run(commit_surely(platform, Transaction({"a": 0}, {"a": {"n": 1}})))
         before = platform.rows["a"].version
-        self.assertTrue(all(failed(outcome) for outcome in platform.land_late()))
+        self.assertTrue(all(failed(outcome) for outcome in platform.apply_delayed()))
         self.assertEqual(platform.rows["a"].version, before)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -118,14 +118,14 @@
         async def play():
             runner = await RunnerStandin("e1").start()
             link = await Proxy(runner.address).start()
-            runner.script, runner.rest, link.mode = ["refuse"], 1.5, mode
+            runner.script, runner.retry_after, link.mode = ["refuse"], 1.5, mode
             endpoints = HttpEndpoints()
             headers = {"x-attempt-id": "a1", "x-target-instance": "e1", "content-length": "0"}
             call = Call("POST", "/x", headers, b"", once=True)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
                     await endpoints.open(f"http://{link.address}", call)
-            self.assertEqual(1, len(runner.rests))
+            self.assertEqual(1, len(runner.refusals))
             self.assertEqual(count, len(read_words(runner, link, math.inf, 0.0).rests))
             await endpoints.close()
             await link.stop()
