--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,6 +1,8 @@
-"""Run all tests, then print ``N passed, N failed``; exit 0 when only listed faults fail.
+"""Run the tests and print ``N passed, N failed``.
 
-``KNOWN-RED.txt`` lists tests that fail for a real fault, one a line: id, cause, issue.
+``KNOWN-RED.txt`` lists the tests that are known to fail, one a line: test id, cause, issue. The
+exit code is 0 only if at least one test passed, every failure is listed, no listed test passed,
+and at most ``MAX_KNOWN_RED`` tests are listed.
 """
 
 import logging
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small manifests and contexts for tests of one part."""
+"""Builders of manifests and contexts for unit tests."""
 
 import random
 
@@ -63,6 +63,6 @@
 
 
 def facts_of(fact_table, slots=None):
-    """The facts of a board as its peers read them: those in ``slots``, or all."""
+    """Return the entries in ``slots`` (default: all), encoded and decoded as for a peer."""
     raw = fact_table.encode_entries(fact_table.slots() if slots is None else slots).values()
     return decode(encode_update(raw, 0)).entries
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment within the test's own loop: stand-ins and hosts on free ports."""
+"""A deployment of stand-ins and hosts on free ports, all in the event loop of the test."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,10 @@
 
 
 async def wait_for(condition, what="the condition", seconds=WAIT_SECONDS):
-    """Wait until a condition holds; the bound only ends a test that would hang."""
+    """Return the first true result of a condition, which is polled every 0.01 s.
+
+    The timeout only ends a test that would hang.
+    """
     deadline = time.monotonic() + seconds
     while True:
         found = condition()
@@ -41,7 +44,7 @@
         if found:
             return found
         if time.monotonic() > deadline:
-            raise AssertionError(f"{what} did not come true in {seconds} s")
+            raise AssertionError(f"{what}: not reached within {seconds} s")
         await asyncio.sleep(0.01)
 
 
@@ -172,10 +175,10 @@
                     return False
             return True
 
-        await wait_for(in_force, "the manifest in force and true everywhere")
+        await wait_for(in_force, "manifest in force and applied on all hosts")
 
     async def chat(self, model="m0", host=0, token=TOKEN, url=None, headers=None, **body):
-        """Return status, answer's headers and body of one request."""
+        """Send a chat request; return status, headers, and JSON (raw bytes for a stream)."""
         body = {"model": model, "messages": [{"role": "user", "content": "hello"}]} | body
         head = {"authorization": f"Bearer {token}"} | (headers or {})
         base = url or self.hosts[host].server.url
@@ -185,7 +188,7 @@
         return resp.status, resp.headers, raw if body.get("stream") else json.loads(raw)
 
     async def call(self, path, host=0, method="POST", headers=None, data=b"", token=TOKEN):
-        """Return status and body of one call to a service."""
+        """Call the service ``broker``; return status and body (parsed if it is a JSON object)."""
         head = {"authorization": f"Bearer {token}"} | (headers or {})
         url = f"{self.hosts[host].server.url}/services/broker{path}"
         async with self.session.request(method, url, data=data, headers=head) as resp:
@@ -200,7 +203,7 @@
 
 
 def read_stream(raw):
-    """Return the texts of a streamed answer, its ids, and whether it is whole."""
+    """Return the texts, the ids, whether the end marker is present, and the errors of a stream."""
     frames = [part.removeprefix(b"data: ") for part in raw.split(b"\n\n") if part]
     whole = bool(frames) and frames[-1] == b"[DONE]"
     rows = [json.loads(frame) for frame in frames if frame != b"[DONE]"]
--- a/tests/count.py
+++ b/tests/count.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that counts outcomes by test id."""
+"""A nose2 plugin that collects the ids of passed and failed tests."""
 
 from nose2.events import Plugin
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: clock, platform, engine. No network and no real time."""
+"""In-memory fakes of the clock, the platform and the engines, without network or real time."""
 
 import asyncio
 import heapq
@@ -14,7 +14,7 @@
 
 
 class FakeClock:
-    """Time that passes only when told to."""
+    """A clock that moves only in :meth:`advance`, which also wakes the sleepers that are due."""
 
     def __init__(self):
         self.time = 1000.0
@@ -41,9 +41,12 @@
 
 
 class FakePlatform:
-    """The platform in memory. ``faults`` is a queue of what happens to the next commits:
-    ``down`` (nothing done), ``lost`` (done, answer lost), ``late`` (done only by
-    :meth:`land_late`, answer lost), ``ok``."""
+    """The platform in memory.
+
+    ``faults`` is a queue with the outcome of the next commits: ``ok``; ``down``: not applied;
+    ``lost``: applied, but the answer is lost; ``late``: applied only by :meth:`apply_delayed`, and
+    the answer is lost.
+    """
 
     def __init__(self):
         self.rows = {}
@@ -75,7 +78,7 @@
         return Failure(Kind.OUTCOME_UNKNOWN) if fault == "lost" else outcome
 
     def apply_delayed(self):
-        """Let the writes arrive that were on their way."""
+        """Apply the delayed commits and return their outcomes."""
         delayed, self.delayed = self.delayed, []
         return [self._apply(tx) for tx in delayed]
 
@@ -117,7 +120,11 @@
 
 
 class FakeEngine:
-    """An engine's memory and its rule for orders. It checks at each change that it fits."""
+    """The memory of an engine and its handling of orders.
+
+    A fencing engine rejects an order whose number is below the highest that it has received, unless
+    it has executed that order before.
+    """
 
     def __init__(self, capacity, fencing):
         self.capacity = list(capacity)
@@ -147,7 +154,7 @@
         self.executed.clear()
 
     def execute(self, order):
-        """Do an order; None when done, else the failure it is answered with."""
+        """Execute an order; return None, or the failure with which it is rejected."""
         if self.fencing:
             if order.number in self.executed:
                 return None
@@ -167,9 +174,12 @@
 
 
 class FakeEndpoints:
-    """Endpoints by URL. ``fates`` says what happens to the next orders: ``now``, ``lost`` (never
-    arrives), ``late`` (arrives when :meth:`deliver` is called), ``unanswered`` (done, no answer),
-    ``twice`` (done, and arrives again by :meth:`deliver`)."""
+    """Endpoints by URL.
+
+    ``deliveries`` is a queue with the delivery of the next orders: ``now``; ``lost``: never
+    arrives; ``late``: arrives in :meth:`deliver`; ``unanswered``: executed, but the answer is lost;
+    ``twice``: executed at once, and again in :meth:`deliver`.
+    """
 
     def __init__(self, engines, clock):
         self.engines = engines
@@ -191,8 +201,11 @@
         return Failure(Kind.ENDPOINT_LOST) if delivery == "unanswered" else outcome
 
     def deliver(self, index, max_delay):
-        """Let an order arrive that was under way, unless it is later than an engine that ignores
-        numbers is stated to get it."""
+        """Deliver one undelivered order.
+
+        An engine without fencing executes it only up to ``max_delay`` seconds after it was sent,
+        the longest delay that such an engine is assumed to see; later orders are dropped.
+        """
         sent_at, url, order = self.undelivered.pop(index % len(self.undelivered))
         engine = self.engines[url]
         if engine.fencing or self.clock.monotonic() - sent_at <= max_delay:
@@ -208,7 +221,7 @@
 
 
 class FakeLeaseTable:
-    """Says which lives' leases have lapsed."""
+    """A lease table in which the leases of the incarnations in ``lapsed`` have expired."""
 
     def __init__(self):
         self.lapsed = set()
@@ -219,13 +232,13 @@
 
 
 async def settle():
-    """Let tasks that wait for nothing real run to their end."""
+    """Run 10 iterations of the event loop, so that tasks that are ready make progress."""
     for _ in range(10):
         await asyncio.sleep(0)
 
 
 class PermanentLease:
-    """A lease that is held for good."""
+    """A leader's lease that never expires."""
 
     term = 1
 
--- a/tests/relay/deployment.py
+++ b/tests/relay/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process: store and runners by stand-ins, real hosts, real sockets."""
+"""A relay deployment in one process: stand-ins for store and runners, real hosts and sockets."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
     {"name": "m0", "weights_mb": 60, "load_s": 0.3, "adapters": 2, "adapter_mb": 1},
     {"name": "m1", "weights_mb": 60, "load_s": 0.3, "adapters": 0, "adapter_mb": 1},
 ]
-# Seconds for which the entry of an endpoint that has ended stays.
+# Time after which the store removes the entry of an endpoint that has crashed.
 ENTRY_EXPIRY_SECONDS = 0.5
 ENGINE_CONFIG = {
     "slots": 8,
@@ -72,16 +72,16 @@
 
 
 def free_address():
-    """An address that nothing listens on now, at a port that the kernel gives to nobody.
+    """Return a free address, at a port outside the range that the kernel assigns by itself.
 
-    A port that the kernel gave and took back is given to the next who asks, maybe a stand-in of
-    another test run; both then bind it, and the one that listens second gets EADDRINUSE.
+    The kernel may reassign a port of its own range as soon as it is released, for example to a
+    stand-in of another test run. Both then bind it, and the second to listen gets EADDRINUSE.
     """
     return Address("127.0.0.1", free_port())
 
 
 class Deployment:
-    """``engines`` and ``pages`` runners, one host or more, and a caller."""
+    """Runners of the services ``engines`` and ``pages``, some hosts, and a client session."""
 
     def __init__(self, hosts=1, engines=(("e1", ("m0",)),), pages=("p1",)):
         self._count = hosts
@@ -110,7 +110,7 @@
         await self.until(lambda: all(host.fleet.states.keys() == names for host in self.hosts))
 
     async def replace_hosts(self):
-        """End all hosts as when they lose power, and start as many new ones elsewhere."""
+        """Stop all hosts and start as many at other addresses, as after a power failure."""
         old, self.hosts = self.hosts, []
         for host in old:
             await host.stop()
@@ -163,7 +163,7 @@
         return host
 
     async def until(self, condition, seconds=10.0):
-        """Wait for something to become true, looking at each turn of the loop's timers."""
+        """Poll a condition every 0.01 s until it is true; raise TimeoutError after ``seconds``."""
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -172,7 +172,10 @@
         return f"http://{self.hosts[host].settings.listen.callers}{path}"
 
     async def send(self, path, attempt="a1", model="", to=0, body=b"", **headers):
-        """Send one request; return status, headers and body, or the error that cut it off."""
+        """Send a request to host ``to``; return status, headers and body.
+
+        A client error gives status 0 and the exception in place of the body.
+        """
         request_headers = {"host": "shop.example", "x-attempt-id": attempt, "x-deadline-ms": "6000"}
         request_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         if model:
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process: ``python -m tests.standins engine --name e1 --capacity 100``."""
+"""Run a stand-in as a process: ``python -m tests.standins engine --name e1 --capacity 100``."""
 
 import argparse
 import asyncio
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,17 +1,23 @@
-"""Stand-in for a model engine: batching with a knee, prefix cache, priorities, resume, orders.
-
-Generation goes on apart from the connection that reads it, so a frozen connection can be
-resumed on another. ``faults`` switch failures on:
-
-``drop_orders``/``delay_orders``/``double_orders``  orders lost, late or done twice
-``freeze``  connections open now give no further byte; new ones work
-``down``    every call is cut off without an answer
-``refuse``  requests get 503 with the sign that they did not run, and ``rest`` as Retry-After
-``cross``   the answer carries another request's id, ``cross_frames``: only its frames do
-``cut``     streams break off after so many tokens and cannot be resumed
-
-A prompt with ``fatal`` in it ends the engine: it is down, and back after ``away`` seconds as
-another start that holds what it held.
+"""Stand-in for a model engine.
+
+It has batching that slows down above ``knee`` requests, a prefix cache, priorities, resumable
+streams and orders. Generation runs apart from the connection that reads it, so that a stream whose
+connection is frozen can be resumed on another connection. ``faults`` inject failures:
+
+``drop_orders``         number of orders that are neither executed nor answered
+``delay_orders``        seconds before an order is executed
+``double_orders``       number of orders that are executed twice
+``lose_order_answers``  number of orders that are executed and not answered
+``freeze``              connections open now send no more bytes; new connections work
+``down``                every call is aborted without an answer
+``refuse``              requests get 503 with ``x-not-run``, and ``retry_after`` as Retry-After
+``cross``               answer and frames carry the id of another request
+``cross_frames``        only the frames carry the id of another request
+``cut``                 streams break off after this many tokens and cannot be resumed
+``event_gap``           cache events are numbered but not reported
+
+A prompt that contains ``fatal_text`` crashes the engine: it is down, and starts again after
+``restart_seconds`` with a new boot id and the same items.
 """
 
 import asyncio
@@ -213,7 +219,7 @@
         return reply({"state": "done"})
 
     async def _drain(self, key):
-        """Let the streams that run on an item end before it goes."""
+        """Wait until no stream uses the item, before it is unloaded."""
         while any(s.item == key and not s.done for s in self.streams.values()):
             await asyncio.sleep(0.005)
 
@@ -479,7 +485,10 @@
 
 
 class ServiceStandin:
-    """A plain service that counts each call and answers with what it was asked."""
+    """A service that counts its calls and echoes the request.
+
+    ``abort_calls`` aborts calls after they are counted; ``delay`` is in seconds.
+    """
 
     def __init__(self, port=0):
         self.calls = []
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -1,4 +1,4 @@
-"""Answers and bodies of the stand-ins."""
+"""HTTP helpers of the stand-ins."""
 
 import asyncio
 import json
@@ -17,6 +17,6 @@
 
 
 async def abort_connection(request: Request):
-    """Cut the connection off without an answer."""
+    """Abort the connection without an answer; the handler never returns."""
     request.scope["abort"]()
     await asyncio.sleep(3600)
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -1,8 +1,12 @@
-"""Stand-in for the platform: table, object store, lagging host list, weight store.
+"""Stand-in for the platform: table, object store, host list and weight store.
 
-Faults are switched on by ``POST /faults`` or by setting ``faults`` in the same process:
-``down`` refuses every call, ``slow`` delays it, ``lose`` drops the answer after the write took
-effect, ``lag`` holds the host list back.
+Faults are set by ``POST /faults``, or through ``faults`` in the same process:
+
+``down``  every call is answered with 503
+``slow``  seconds by which every call is delayed
+``hang``  calls get no answer
+``lose``  number of commits that are applied and answered with 500
+``lag``   seconds by which the host list lags behind
 """
 
 import asyncio
@@ -130,7 +134,10 @@
         return reply({})
 
     async def weights(self, request: Request):
-        """Answer when the bytes are through: one start each gap, so many at full speed."""
+        """Answer after ``seconds``.
+
+        At most ``parallel`` loads run at once, and they start at least ``_load_interval`` apart.
+        """
         seconds = float(request.query.get("seconds", ["0"])[0])
         async with self._load_slots:
             now = time.monotonic()
--- a/tests/standins/runner.py
+++ b/tests/standins/runner.py
@@ -1,27 +1,35 @@
-"""Stand-in for a runner of the users' platform, on plain asyncio, so that it can misbehave.
-
-``restart`` starts it again under its id: it holds nothing, and its count of orders begins anew.
-Its old connections stay as they are and nobody answers on them, as after a crash behind a cut.
-
-What it does with a request is the next of ``script``, or "serve": ``refuse`` (not run), ``error``,
-``refuse another`` (the refusal of another request, though it runs this one),
-``cut`` (half of an answer, then the connection ends), ``silent`` (no answer for good), ``foreign``
-(the id of another request), ``unsigned`` (no receipt), ``extra`` (a second answer behind the
-first). ``pace`` are seconds before each event or answer, ``most_held`` the most models it had at
-once. What reaches it is kept in ``seen``; what ran, in ``ran``; what was left, in ``left``.
-``accepted`` counts the connections that were made to it, ``calls`` has the time of each request
-that reached it, reports and orders too; ``heads`` the times of requests alone, with their ids. A
-refusal asks for ``rest`` seconds of rest, and is kept in ``rests`` with its time and id, and the
-port of the connection's other end. What is in ``says`` goes into the head of each answer. A
-request whose body is in ``fatal`` ends it as soon as it runs: all its connections are reset and
-nothing listens any more.
+"""Stand-in for a runner of the users' platform, on plain asyncio streams, to inject faults.
+
+Each request takes its behavior from the queue ``script``; the default is ``serve``:
+
+``refuse``          503 with ``x-not-executed``; the request is not executed
+``refuse another``  503 that names another attempt, although this one is executed
+``error``           500
+``cut``             part of the answer, then the connection closes
+``silent``          no answer
+``foreign``         the answer carries the id of another attempt
+``unsigned``        the answer lacks ``x-response-signature``
+``extra``           a second answer follows the first on the same connection
+
+Settings: ``delay_seconds`` before each event or answer; ``extra_headers`` for each answer;
+``retry_after`` seconds that a refusal asks for; ``fatal_bodies``: a request with one of these
+bodies crashes the runner when it executes, so that all connections are aborted and nothing listens.
+``halfway_event`` is an event that streams wait for after half of their events.
+
+Records: ``requests`` received; ids of attempts ``executed``, and ``disconnected`` by the caller;
+``connection_count``; ``call_times`` of all requests, with reports and orders; ``request_times``:
+the same times with the attempt ids; ``refusals``: time, attempt id, ``retry_after`` and peer port;
+``max_models_held`` at once.
+
+``restart`` starts the runner again under the same id, without models and with its order sequence
+at 0. Connections from before stay open and unanswered, as after a crash behind a network partition.
 """
 
 import asyncio
 import json
 
 EVENTS_PER_STREAM = 6
-# Unix milliseconds of a runner's first start, and between two starts.
+# Unix time of the first start of a runner, and the interval between two starts.
 FIRST_START_MS = 1_700_000_000_000
 RESTART_INTERVAL_MS = 60_000
 
@@ -67,7 +75,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self):
-        """End as a process that crashes."""
+        """Stop listening and abort all connections, as a crashed process does."""
         self.crashed = True
         self._server.close()
         for writer in self._writers:
@@ -75,7 +83,7 @@
         self.on_crash()
 
     def restart(self):
-        """Start again under the same id, and register."""
+        """Start again under the same id, without models, and register."""
         self.started_ms += RESTART_INTERVAL_MS
         self.seq = 0
         self.models = {}
@@ -218,7 +226,7 @@
         return True
 
     async def _wait_halfway(self, reader, attempt):
-        """Wait for the test's word; False when the other side has left before."""
+        """Wait for ``halfway_event``; return False if the caller disconnects first."""
         closed = asyncio.ensure_future(reader.read(1))
         resumed = asyncio.ensure_future(self.halfway_event.wait())
         await asyncio.wait({closed, resumed}, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/standins/tables.py
+++ b/tests/standins/tables.py
@@ -1,7 +1,10 @@
-"""Stand-in for the users' platform's store: rows with versions, transactions, feeds.
+"""Stand-in for the store of the users' platform: versioned rows, transactions and feeds.
 
-``faults``: ``down`` refuses every call, ``lose`` drops the answers of so many writes after they
-took effect, ``forget`` answers every feed with 410 once.
+``faults``:
+
+``down``    every call is answered with 503
+``lose``    number of transactions that are applied, and whose connection is aborted unanswered
+``forget``  number of feed calls that are answered with 410
 """
 
 import asyncio
@@ -48,7 +51,7 @@
         await self.server.stop()
 
     def put(self, table, key, value):
-        """Write a row as the operators and the endpoints do."""
+        """Write a row without a version check, as operators and endpoints do."""
         self.version += 1
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.rows[(table, key)] = (base64.b64encode(raw).decode(), self.version)
