--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""A whole deployment within the test's own loop: stand-ins and hosts on free ports."""
+"""A deployment of stand-ins and hosts on free ports, all in the event loop of the test."""
 
 import asyncio
 import contextlib
@@ -18,9 +18,9 @@
 DOMAINS = ("north", "south", "east", "west")
 TOKEN = "test-token"
 OTHER_TOKEN = "other-token"
-OPERATOR = "operator-token"
+OPERATOR_TOKEN = "operator-token"
 WAIT_SECONDS = 30.0
-FAST = {
+FAST_SETTINGS = {
     "poll_seconds": 0.1,
     "watch_seconds": 0.05,
     "lease_seconds": 1.0,
@@ -32,7 +32,10 @@
 
 
 async def wait_for(condition, what="the condition", seconds=WAIT_SECONDS):
-    """Wait until a condition holds; the bound only ends a test that would hang."""
+    """Return the first true result of a condition, which is polled every 0.01 s.
+
+    The timeout only ends a test that would hang.
+    """
     deadline = time.monotonic() + seconds
     while True:
         found = condition()
@@ -41,7 +44,7 @@
         if found:
             return found
         if time.monotonic() > deadline:
-            raise AssertionError(f"{what} did not come true in {seconds} s")
+            raise AssertionError(f"{what}: not reached within {seconds} s")
         await asyncio.sleep(0.01)
 
 
@@ -60,7 +63,7 @@
         ]
         self.services = [ServiceStandin() for _ in range(services)]
         self.hosts = []
-        self.settings = FAST | (settings or {})
+        self.settings = FAST_SETTINGS | (settings or {})
         self._host_count = hosts
         self._models = models
         self._adapters = adapters
@@ -84,13 +87,13 @@
             await standin.stop()
 
     def make_settings(self, name, **more):
-        place = len(self.hosts)
+        index = len(self.hosts)
         base = {
             "host_id": name,
-            "domain": DOMAINS[place % len(DOMAINS)],
+            "domain": DOMAINS[index % len(DOMAINS)],
             "platform_url": self.platform.url,
             "cluster_key": "0123456789abcdef",
-            "operator_token": OPERATOR,
+            "operator_token": OPERATOR_TOKEN,
         }
         return Settings(**(base | self.settings | more))
 
@@ -147,7 +150,7 @@
             base["services"] = []
         return base | changes
 
-    async def operate(self, path, body=None, host=0, token=OPERATOR):
+    async def call_admin(self, path, body=None, host=0, token=OPERATOR_TOKEN):
         head = {"authorization": f"Bearer {token}"}
         url = f"{self.hosts[host].server.url}/admin/{path}"
         method = "POST" if body is not None else "GET"
@@ -156,26 +159,26 @@
             return resp.status, await resp.json()
 
     async def publish(self, document=None, host=0, wait=True):
-        status, answer = await self.operate("manifest", document or self.manifest(), host)
+        status, answer = await self.call_admin("manifest", document or self.manifest(), host)
         assert status == 200, answer
         if wait:
-            await self.wait_true(answer["generation"])
+            await self.wait_in_force(answer["generation"])
         return answer
 
-    async def wait_true(self, generation=1):
-        async def holds():
+    async def wait_in_force(self, generation=1):
+        async def in_force():
             for host in range(len(self.hosts)):
                 if self.hosts[host].host.membership.own.state in ("leaving", "gone"):
                     continue
-                status, found = await self.operate("status", host=host)
+                status, found = await self.call_admin("status", host=host)
                 if status != 200 or not found["true"] or found["generation"] < generation:
                     return False
             return True
 
-        await wait_for(holds, "the manifest in force and true everywhere")
+        await wait_for(in_force, "manifest in force and applied on all hosts")
 
-    async def ask(self, model="m0", host=0, token=TOKEN, url=None, headers=None, **body):
-        """Return status, answer's headers and body of one request."""
+    async def chat(self, model="m0", host=0, token=TOKEN, url=None, headers=None, **body):
+        """Send a chat request; return status, headers, and JSON (raw bytes for a stream)."""
         body = {"model": model, "messages": [{"role": "user", "content": "hello"}]} | body
         head = {"authorization": f"Bearer {token}"} | (headers or {})
         base = url or self.hosts[host].server.url
@@ -185,7 +188,7 @@
         return resp.status, resp.headers, raw if body.get("stream") else json.loads(raw)
 
     async def call(self, path, host=0, method="POST", headers=None, data=b"", token=TOKEN):
-        """Return status and body of one call to a service."""
+        """Call the service ``broker``; return status and body (parsed if it is a JSON object)."""
         head = {"authorization": f"Bearer {token}"} | (headers or {})
         url = f"{self.hosts[host].server.url}/services/broker{path}"
         async with self.session.request(method, url, data=data, headers=head) as resp:
@@ -200,7 +203,7 @@
 
 
 def read_stream(raw):
-    """Return the texts of a streamed answer, its ids, and whether it is whole."""
+    """Return the texts, the ids, whether the end marker is present, and the errors of a stream."""
     frames = [part.removeprefix(b"data: ") for part in raw.split(b"\n\n") if part]
     whole = bool(frames) and frames[-1] == b"[DONE]"
     rows = [json.loads(frame) for frame in frames if frame != b"[DONE]"]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: clock, platform, engine. No network and no real time."""
+"""In-memory fakes of the clock, the platform and the engines, without network or real time."""
 
 import asyncio
 import heapq
@@ -14,7 +14,7 @@
 
 
 class FakeClock:
-    """Time that passes only when told to."""
+    """A clock that moves only in :meth:`advance`, which also wakes the sleepers that are due."""
 
     def __init__(self):
         self.time = 1000.0
@@ -41,9 +41,12 @@
 
 
 class FakePlatform:
-    """The platform in memory. ``faults`` is a queue of what happens to the next commits:
-    ``down`` (nothing done), ``lost`` (done, answer lost), ``late`` (done only by
-    :meth:`land_late`, answer lost), ``ok``."""
+    """The platform in memory.
+
+    ``faults`` is a queue with the outcome of the next commits: ``ok``; ``down``: not applied;
+    ``lost``: applied, but the answer is lost; ``late``: applied only by :meth:`apply_delayed`, and
+    the answer is lost.
+    """
 
     def __init__(self):
         self.rows = {}
@@ -51,7 +54,7 @@
         self.version = 0
         self.down = False
         self.faults = []
-        self.late = []
+        self.delayed = []
         self.writes = 0
 
     async def read(self, keys):
@@ -69,15 +72,15 @@
         if self.down or fault == "down":
             return Failure(Kind.PLATFORM_DOWN)
         if fault == "late":
-            self.late.append(tx)
+            self.delayed.append(tx)
             return Failure(Kind.OUTCOME_UNKNOWN)
         outcome = self._apply(tx)
         return Failure(Kind.OUTCOME_UNKNOWN) if fault == "lost" else outcome
 
-    def land_late(self):
-        """Let the writes arrive that were on their way."""
-        late, self.late = self.late, []
-        return [self._apply(tx) for tx in late]
+    def apply_delayed(self):
+        """Apply the delayed commits and return their outcomes."""
+        delayed, self.delayed = self.delayed, []
+        return [self._apply(tx) for tx in delayed]
 
     def _apply(self, tx):
         self.writes += 1
@@ -117,84 +120,96 @@
 
 
 class FakeEngine:
-    """An engine's memory and its rule for orders. It checks at each change that it fits."""
+    """The memory of an engine and its handling of orders.
+
+    A fencing engine rejects an order whose number is below the highest that it has received, unless
+    it has executed that order before.
+    """
 
     def __init__(self, capacity, fencing):
         self.capacity = list(capacity)
         self.fencing = fencing
-        self.boots = 1
+        self.boot_count = 1
         self.items = {}
-        self.highest = 0
-        self.done = set()
+        self.highest_order = 0
+        self.executed = set()
         self.down = False
 
     def used(self):
         used = [0] * len(self.capacity)
         for held in self.items.values():
-            for place in held.accelerators:
-                used[place] += held.bytes
+            for index in held.accelerators:
+                used[index] += held.bytes
         return used
 
     def fits(self):
-        return all(use <= room for use, room in zip(self.used(), self.capacity, strict=True))
+        return all(
+            used <= capacity for used, capacity in zip(self.used(), self.capacity, strict=True)
+        )
 
     def restart(self):
-        self.boots += 1
+        self.boot_count += 1
         self.items.clear()
-        self.highest = 0
-        self.done.clear()
+        self.highest_order = 0
+        self.executed.clear()
 
-    def carry_out(self, order):
-        """Do an order; None when done, else the failure it is answered with."""
+    def execute(self, order):
+        """Execute an order; return None, or the failure with which it is rejected."""
         if self.fencing:
-            if order.number in self.done:
+            if order.number in self.executed:
                 return None
-            if order.number < self.highest:
+            if order.number < self.highest_order:
                 return Failure(Kind.FENCED)
-            self.highest = order.number
+            self.highest_order = order.number
         if order.action == "load":
             self.items[order.item] = LoadedItem(list(order.accelerators), order.bytes, True)
         else:
             self.items.pop(order.item, None)
-        self.done.add(order.number)
+        self.executed.add(order.number)
         return None
 
     def report(self):
         load = EngineLoad(0, 0, 0, 8, 1e4, 5000)
-        return Report(str(self.boots), dict(self.items), load)
+        return Report(str(self.boot_count), dict(self.items), load)
 
 
 class FakeEndpoints:
-    """Endpoints by URL. ``fates`` says what happens to the next orders: ``now``, ``lost`` (never
-    arrives), ``late`` (arrives when :meth:`deliver` is called), ``unanswered`` (done, no answer),
-    ``twice`` (done, and arrives again by :meth:`deliver`)."""
+    """Endpoints by URL.
+
+    ``deliveries`` is a queue with the delivery of the next orders: ``now``; ``lost``: never
+    arrives; ``late``: arrives in :meth:`deliver`; ``unanswered``: executed, but the answer is lost;
+    ``twice``: executed at once, and again in :meth:`deliver`.
+    """
 
     def __init__(self, engines, clock):
         self.engines = engines
         self.clock = clock
-        self.fates = []
-        self.flying = []
+        self.deliveries = []
+        self.undelivered = []
 
     async def report(self, url, since):
         engine = self.engines[url]
         return Failure(Kind.ENDPOINT_LOST) if engine.down else engine.report()
 
     async def order(self, url, order, timeout):
-        fate = self.fates.pop(0) if self.fates else "now"
-        if fate in ("late", "twice"):
-            self.flying.append((self.clock.monotonic(), url, order))
-        if fate in ("lost", "late"):
+        delivery = self.deliveries.pop(0) if self.deliveries else "now"
+        if delivery in ("late", "twice"):
+            self.undelivered.append((self.clock.monotonic(), url, order))
+        if delivery in ("lost", "late"):
             return Failure(Kind.ENDPOINT_LOST)
-        outcome = self.engines[url].carry_out(order)
-        return Failure(Kind.ENDPOINT_LOST) if fate == "unanswered" else outcome
+        outcome = self.engines[url].execute(order)
+        return Failure(Kind.ENDPOINT_LOST) if delivery == "unanswered" else outcome
+
+    def deliver(self, index, max_delay):
+        """Deliver one undelivered order.
 
-    def deliver(self, place, bound):
-        """Let an order arrive that was under way, unless it is later than an engine that ignores
-        numbers is stated to get it."""
-        sent, url, order = self.flying.pop(place % len(self.flying))
+        An engine without fencing executes it only up to ``max_delay`` seconds after it was sent,
+        the longest delay that such an engine is assumed to see; later orders are dropped.
+        """
+        sent_at, url, order = self.undelivered.pop(index % len(self.undelivered))
         engine = self.engines[url]
-        if engine.fencing or self.clock.monotonic() - sent <= bound:
-            engine.carry_out(order)
+        if engine.fencing or self.clock.monotonic() - sent_at <= max_delay:
+            engine.execute(order)
 
 
 class FakeLease:
@@ -206,24 +221,24 @@
 
 
 class FakeLeaseTable:
-    """Says which lives' leases have lapsed."""
+    """A lease table in which the leases of the incarnations in ``lapsed`` have expired."""
 
     def __init__(self):
-        self.gone = set()
+        self.lapsed = set()
         self.loaded = True
 
     def prove_lapsed(self, incarnation):
-        return {} if incarnation in self.gone else None
+        return {} if incarnation in self.lapsed else None
 
 
 async def settle():
-    """Let tasks that wait for nothing real run to their end."""
+    """Run 10 iterations of the event loop, so that tasks that are ready make progress."""
     for _ in range(10):
         await asyncio.sleep(0)
 
 
-class AlwaysLeads:
-    """A lease that is held for good."""
+class PermanentLease:
+    """A leader's lease that never expires."""
 
     term = 1
 
--- a/tests/standins/http.py
+++ b/tests/standins/http.py
@@ -1,4 +1,4 @@
-"""Answers and bodies of the stand-ins."""
+"""HTTP helpers of the stand-ins."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
     return json.loads(raw) if raw else {}
 
 
-async def hang_up(request: Request):
-    """Cut the connection off without an answer."""
+async def abort_connection(request: Request):
+    """Abort the connection without an answer; the handler never returns."""
     request.scope["abort"]()
     await asyncio.sleep(3600)
