--- a/extras/fleet_processes.py
+++ b/extras/fleet_processes.py
@@ -22,15 +22,15 @@
 class Process:
     """A child process that prints ``ready: URL`` when it serves."""
 
-    def __init__(self, args: Sequence[str], log: str = os.devnull):
-        environ = {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
+    def __init__(self, args: Sequence[str], log: str = os.devnull, checkout: Path = ROOT):
+        environ = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONUNBUFFERED": "1"}
         with open(log, "ab") as errors:
             self.child = subprocess.Popen(
                 [sys.executable, "-m", *args],
                 stdout=subprocess.PIPE,
                 stderr=errors,
                 env=environ,
-                cwd=ROOT,
+                cwd=checkout,
                 text=True,
             )
         self.url = ""
@@ -60,7 +60,10 @@
 
 
 class Deployment:
-    """A platform, engines, services and hosts, each a process of its own."""
+    """A platform, engines, services and hosts, each a process of its own.
+
+    Hosts of odd number run from the checkout ``beside`` if it is given.
+    """
 
     def __init__(
         self,
@@ -72,6 +75,7 @@
         engine_options: Sequence[str] = (),
         host_options: Sequence[str] = (),
         platform_options: Sequence[str] = (),
+        beside: Path | None = None,
     ):
         self.shape = shape
         self._counts = (engines, services, hosts)
@@ -79,6 +83,7 @@
         self._engine_options = list(engine_options)
         self._host_options = list(host_options)
         self._platform_options = list(platform_options)
+        self._beside = beside or ROOT
         self.platform: Process | None = None
         self.engines: dict[str, Process] = {}
         self.services: dict[str, Process] = {}
@@ -106,15 +111,16 @@
             process.wait_ready()
         return self
 
-    def _spawn(self, *args: str) -> Process:
-        return Process(args, self._log)
+    def _spawn(self, *args: str, checkout: Path = ROOT) -> Process:
+        return Process(args, self._log, checkout)
 
     def _spawn_host(self, number: int) -> Process:
         domains = self.shape.domains
         options = ["--host-id", f"host-{number}", "--domain", domains[number % len(domains)]]
         options += ["--platform-url", self.platform.url, "--cluster-key", CLUSTER_KEY]
         options += ["--operator-token", OPERATOR_TOKEN, *self._host_options]
-        return self._spawn("peridotdock.cli.daemon", *options)
+        checkout = self._beside if number % 2 else ROOT
+        return self._spawn("peridotdock.cli.daemon", *options, checkout=checkout)
 
     def add_host(self, number: int) -> Process:
         """Start one more host, or one in the place of another."""
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -54,9 +54,9 @@
             raise outcome
 
 
-async def play(plan: Plan, hosts: int, folder: Path) -> list[str]:
+async def play(plan: Plan, hosts: int, folder: Path, beside: Path | None = None) -> list[str]:
     """Play one plan and return what was promised and not kept."""
-    record, world = Record(), World(hosts, folder)
+    record, world = Record(), World(hosts, folder, beside)
     await world.start()
     try:
         await wait_ready(world)
@@ -127,7 +127,15 @@
 @click.option("--seconds", default=15.0, help="Length of a run's traffic.")
 @click.option("--hosts", default=4, help="Host processes in a run.")
 @click.option("--keep", default="", help="Folder for plans and logs of seeds that fail.")
-def main(first: int, seeds: int, seconds: float, hosts: int, keep: str) -> None:
+@click.option(
+    "--beside",
+    metavar="DIR",
+    type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
+    help="Another checkout; every second host runs from it, so that two versions run side by side.",
+)
+def main(
+    first: int, seeds: int, seconds: float, hosts: int, keep: str, beside: Path | None
+) -> None:
     """Play seeded plans of faults against real processes, and check what callers are promised."""
     logging.disable(logging.CRITICAL)
     failures = 0
@@ -135,7 +143,7 @@
         plan = draw(seed, seconds)
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         try:
-            broken = asyncio.run(play(plan, hosts, folder))
+            broken = asyncio.run(play(plan, hosts, folder, beside))
         except Exception as exc:
             # A run that could not be played proves nothing: it counts as failed.
             broken = [f"not played: {exc!r}"]
--- a/extras/soak/world.py
+++ b/extras/soak/world.py
@@ -8,6 +8,7 @@
 import sys
 import time
 from pathlib import Path
+from typing import Any
 
 from extras.soak.checks import Limited
 from extras.soak.plan import Fault
@@ -54,8 +55,9 @@
 class HostProcess:
     """One host: a process, started again on the same ports. ``life`` names each start."""
 
-    def __init__(self, name: str, folder: Path):
+    def __init__(self, name: str, folder: Path, checkout: Path = ROOT):
         self.name = name
+        self._checkout = checkout
         self.ports = {door: free_port() for door in ("front", "ready", "control", "directory")}
         self._settings = folder / f"{name}.toml"
         self._log = folder / f"{name}.log"
@@ -83,15 +85,17 @@
     def start(self) -> None:
         """Start the process."""
         self.starts += 1
-        env = {**os.environ, "PERIDOTDOCK_SETTINGS": str(self._settings), "PYTHONPATH": str(ROOT)}
         with self._log.open("ab") as log:
-            self._child = subprocess.Popen(
-                [sys.executable, "-m", "peridotdock.cli.relay"],
-                stdout=log,
-                stderr=log,
-                env=env,
-                cwd=ROOT,
-            )
+            self._child = subprocess.Popen(stdout=log, stderr=log, **self.command())
+
+    def command(self) -> dict[str, Any]:
+        """Return the arguments, environment and folder of the process, as Popen takes them."""
+        root, settings = str(self._checkout), str(self._settings)
+        return {
+            "args": [sys.executable, "-m", "peridotdock.cli.relay"],
+            "env": {**os.environ, "PERIDOTDOCK_SETTINGS": settings, "PYTHONPATH": root},
+            "cwd": self._checkout,
+        }
 
     def signal(self, number: int) -> None:
         """Send a signal to this process, if it runs."""
@@ -109,10 +113,11 @@
 
 
 class World:
-    """All parts of a run."""
+    """All parts of a run. Hosts of odd number run from the checkout ``beside`` if it is given."""
 
-    def __init__(self, hosts: int, folder: Path):
-        self.hosts = [HostProcess(f"h{n}", folder) for n in range(hosts)]
+    def __init__(self, hosts: int, folder: Path, beside: Path | None = None):
+        checkouts = (ROOT, beside or ROOT)
+        self.hosts = [HostProcess(f"h{n}", folder, checkouts[n % 2]) for n in range(hosts)]
         self.engines: list[RunnerStandin] = []
         self.pages: list[RunnerStandin] = []
         self.gone: list[RunnerStandin] = []
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,17 +3,24 @@
 import asyncio
 import contextlib
 import math
+import os
+import sys
 import tempfile
 import unittest
 from dataclasses import replace
 from pathlib import Path
+from types import SimpleNamespace
+from unittest import mock
 
 from nose2.tools import params
 
+from extras import fleet_processes
+from extras.samples import HANEUL
 from extras.soak.__main__ import play, read_words
 from extras.soak.checks import Attempt, Limited, Record, Words, find_broken
 from extras.soak.plan import LONGEST_SECONDS, PLANNED_EVERY, draw
 from extras.soak.proxy import Proxy
+from extras.soak.world import ROOT, World
 from peridotdock.clients.endpoint import Call, HttpEndpoints
 from tests.standins.runner import RunnerStandin
 
@@ -112,6 +119,44 @@
         self.assertEqual(broken, bool(find_broken(found, True, EVENTS, 3)), name)
 
 
+class BesideTest(unittest.TestCase):
+    @params(
+        ("no other checkout", None, [ROOT] * 4),
+        ("another checkout", Path("/other"), [ROOT, Path("/other")] * 2),
+    )
+    def test_every_second_host_runs_from_the_other_checkout(self, name, beside, checkouts):
+        with tempfile.TemporaryDirectory() as folder:
+            hosts = World(4, Path(folder), beside).hosts
+            for host, checkout in zip(hosts, checkouts, strict=True):
+                settings = str(Path(folder) / f"{host.name}.toml")
+                expected = {
+                    "args": [sys.executable, "-m", "peridotdock.cli.relay"],
+                    "env": os.environ
+                    | {"PERIDOTDOCK_SETTINGS": settings, "PYTHONPATH": str(checkout)},
+                    "cwd": checkout,
+                }
+                self.assertEqual(expected, host.command(), f"{name}: {host.name}")
+
+    @params(
+        ("no other checkout", None, [fleet_processes.ROOT] * 4),
+        ("another checkout", Path("/other"), [fleet_processes.ROOT, Path("/other")] * 2),
+    )
+    def test_every_second_daemon_runs_from_the_other_checkout(self, name, beside, checkouts):
+        deployment = fleet_processes.Deployment(HANEUL, beside=beside)
+        deployment.platform = SimpleNamespace(url="http://127.0.0.1:1")
+        with mock.patch.object(fleet_processes.subprocess, "Popen") as popen:
+            popen.return_value.stdout = [f"{fleet_processes.READY_PREFIX}http://127.0.0.1:2"]
+            for number, checkout in enumerate(checkouts):
+                deployment.add_host(number)
+                args, options = popen.call_args
+                what = f"{name}: host {number}"
+                self.assertEqual(
+                    [sys.executable, "-m", "peridotdock.cli.daemon"], args[0][:3], what
+                )
+                self.assertEqual(checkout, options["cwd"], what)
+                self.assertEqual(str(checkout), options["env"]["PYTHONPATH"], what)
+
+
 class LostWordsTest(unittest.TestCase):
     @params(("pass", 1), ("one_way", 0), ("delay", 1))
     def test_a_rest_counts_when_its_answer_was_passed_on(self, mode, count):
