--- a/extras/ablation.py
+++ b/extras/ablation.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-WORTH = re.compile(r"^worth (\d+\.\d+)", re.MULTILINE)
-PLAY_SECONDS = 1200
+WORTH_PATTERN = re.compile(r"^worth (\d+\.\d+)", re.MULTILINE)
+PLAY_TIMEOUT_SECONDS = 1200
 
 
 @dataclass(frozen=True)
@@ -211,12 +211,14 @@
         shutil.copytree(ROOT / "target", copy / "target", symlinks=True)
     if row is not None:
         apply(copy, row)
-    words = shlex.split(command.format(day=day, seed=seed))
-    done = subprocess.run(words, cwd=copy, capture_output=True, text=True, timeout=PLAY_SECONDS)
+    args = shlex.split(command.format(day=day, seed=seed))
+    done = subprocess.run(
+        args, cwd=copy, capture_output=True, text=True, timeout=PLAY_TIMEOUT_SECONDS
+    )
     for entry in (copy / "journal").glob("*.json"):
         shutil.copy(entry, ROOT / "journal")
     shutil.rmtree(copy)
-    found = WORTH.search(done.stdout)
+    found = WORTH_PATTERN.search(done.stdout)
     if found is None:
         print(
             f"{row and row.name}: {day}, seed {seed}: no worth", done.stdout[-500:], file=sys.stderr
--- a/extras/bench.py
+++ b/extras/bench.py
@@ -21,7 +21,7 @@
 from hdrh.histogram import HdrHistogram
 
 from extras.fleet_processes import Deployment
-from extras.samples import ACCELERATORS, LIVE_TOKEN, SHAPES, TOKEN, Shape
+from extras.samples import ACCELERATORS, INTERACTIVE_TOKEN, SHAPES, TOKEN, Shape
 from peridotdock.output.formats import format_table
 
 ENGINES = 5
@@ -33,12 +33,12 @@
 ENGINE_OPTIONS += ["--report-lag", "0.1"]
 HOST_OPTIONS = ["--poll-seconds", "0.5", "--watch-seconds", "0.25", "--lateness-seconds", "5"]
 HOST_OPTIONS += ["--address-seconds", "0.2", "--stop-seconds", "5", "--log-level", "ERROR"]
-SWITCHES = ("admission", "affinity", "correction", "prediction", "spread", "planner_copies")
-WORDS = ("dragon", "ledger", "convoy", "river", "policy", "market", "lantern", "bridge")
+DECISIONS = ("admission", "affinity", "correction", "prediction", "spread", "planner_copies")
+VOCABULARY = ("dragon", "ledger", "convoy", "river", "policy", "market", "lantern", "bridge")
 
 
 @dataclass(frozen=True)
-class Load:
+class LoadProfile:
     """How callers of a shape behave: requests a second, and what they send."""
 
     base_rate: float
@@ -49,11 +49,11 @@
     live_share: float
 
 
-LOADS = {
+LOAD_PROFILES = {
     # Bursts before and during evening sessions; long shared notes, short live prompts.
-    "kahini-ghar": Load(8.0, 26.0, 12, 6000, 400, 0.5),
+    "kahini-ghar": LoadProfile(8.0, 26.0, 12, 6000, 400, 0.5),
     # Renewal bursts; long inputs of their own, little shared.
-    "haneul": Load(5.0, 15.0, 6, 1500, 4500, 0.2),
+    "haneul": LoadProfile(5.0, 15.0, 6, 1500, 4500, 0.2),
 }
 
 
@@ -61,11 +61,11 @@
 class Request:
     """One request to come: when (seconds from the start), for what, and its prompt."""
 
-    at: float
+    send_at: float
     model: str
     prompt: str
     tokens: int
-    live: bool
+    interactive: bool
 
 
 @dataclass
@@ -73,22 +73,22 @@
     """What became of the requests of a run."""
 
     offered: int = 0
-    met: int = 0
+    within_target: int = 0
     misses: Counter = field(default_factory=Counter)
-    first: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
-    between: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
+    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
+    between_tokens: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
     tokens: int = 0
 
 
 def make_text(rng: random.Random, chars: int) -> str:
     """Return text of about ``chars`` characters."""
-    return " ".join(rng.choice(WORDS) for _ in range(chars // 6))
+    return " ".join(rng.choice(VOCABULARY) for _ in range(chars // 6))
 
 
 def make_requests(shape: Shape, seconds: float, seed: int) -> list[Request]:
     """Return the requests of a run: a third at the base rate, then a burst on a few models."""
     rng = random.Random(seed)
-    load = LOADS[shape.name]
+    load = LOAD_PROFILES[shape.name]
     names = [f"{shape.name}-model-{n}" for n in range(shape.models)]
     names += [f"{shape.name}-adapter-{n}" for n in range(shape.adapters)]
     hot = rng.sample(names[: shape.models], 2) + rng.sample(names[shape.models :], 2)
@@ -108,15 +108,15 @@
 
 async def send(session: aiohttp.ClientSession, url: str, req: Request, out: Outcome) -> None:
     """Send one request and judge its answer."""
-    head = {"authorization": f"Bearer {LIVE_TOKEN if req.live else TOKEN}"}
-    head["x-priority"] = "8" if req.live else "5"
+    headers = {"authorization": f"Bearer {INTERACTIVE_TOKEN if req.interactive else TOKEN}"}
+    headers["x-priority"] = "8" if req.interactive else "5"
     body = {"model": req.model, "prompt": req.prompt, "stream": True, "max_tokens": req.tokens}
     out.offered += 1
-    began = last = time.monotonic()
+    started_at = last = time.monotonic()
     first = None
     whole = False
     try:
-        async with session.post(f"{url}/v1/completions", json=body, headers=head) as resp:
+        async with session.post(f"{url}/v1/completions", json=body, headers=headers) as resp:
             if resp.status != 200:
                 out.misses[json.loads(await resp.read())["error"]["code"]] += 1
                 return
@@ -125,10 +125,10 @@
                     continue
                 now = time.monotonic()
                 if first is None:
-                    first = now - began
-                    out.first.record_value(max(1, int(first * 1000)))
+                    first = now - started_at
+                    out.first_token.record_value(max(1, int(first * 1000)))
                 else:
-                    out.between.record_value(max(1, int((now - last) * 1000)))
+                    out.between_tokens.record_value(max(1, int((now - last) * 1000)))
                 last = now
                 out.tokens += 1
                 whole = line.startswith(b"data: [DONE]")
@@ -140,21 +140,21 @@
     elif first is None or first > TARGET_SECONDS:
         out.misses["late"] += 1
     else:
-        out.met += 1
+        out.within_target += 1
 
 
-async def drive(deployment: Deployment, requests: list[Request], chaos) -> Outcome:
+async def drive(deployment: Deployment, requests: list[Request], inject_fault) -> Outcome:
     """Send all requests at their times, spread over the hosts."""
     out = Outcome()
     urls = [host.url for host in deployment.hosts.values()]
     timeout = aiohttp.ClientTimeout(total=60)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
-        began = time.monotonic()
-        tasks = [asyncio.create_task(chaos(deployment))] if chaos else []
-        for place, req in enumerate(requests):
-            await asyncio.sleep(max(0.0, began + req.at - time.monotonic()))
-            tasks.append(asyncio.create_task(send(session, urls[place % len(urls)], req, out)))
+        started_at = time.monotonic()
+        tasks = [asyncio.create_task(inject_fault(deployment))] if inject_fault else []
+        for index, req in enumerate(requests):
+            await asyncio.sleep(max(0.0, started_at + req.send_at - time.monotonic()))
+            tasks.append(asyncio.create_task(send(session, urls[index % len(urls)], req, out)))
         await asyncio.gather(*tasks)
     return out
 
@@ -177,7 +177,7 @@
     return total
 
 
-async def lose_engine(deployment: Deployment) -> None:
+async def freeze_engine(deployment: Deployment) -> None:
     """Freeze one engine's process in the middle of the burst and let it go on later."""
     process = deployment.engines["engine-1"]
     await asyncio.sleep(10)
@@ -195,7 +195,7 @@
         await session.post(f"{deployment.platform.url}/faults", json={"down": False})
 
 
-FAULTS = {"none": None, "engine": lose_engine, "platform": fail_platform}
+FAULTS = {"none": None, "engine": freeze_engine, "platform": fail_platform}
 
 
 def run(shape: Shape, variant: str, seed: int, seconds: float, fault: str) -> dict:
@@ -213,7 +213,7 @@
     )
     try:
         deployment.start()
-        deployment.wait_true(deployment.publish(deployment.manifest())["generation"])
+        deployment.wait_converged(deployment.publish(deployment.manifest())["generation"])
         return asyncio.run(measure(deployment, shape, variant, seed, seconds, fault))
     finally:
         deployment.stop()
@@ -236,14 +236,14 @@
         "fault": fault,
         "seed": seed,
         "offered": out.offered,
-        "attained": round(out.met / max(1, out.offered), 4),
-        "met_per_accelerator_s": round(out.met / seconds / (ENGINES * ACCELERATORS), 3),
+        "attained": round(out.within_target / max(1, out.offered), 4),
+        "met_per_accelerator_s": round(out.within_target / seconds / (ENGINES * ACCELERATORS), 3),
         "moves": int(spent["orders"]),
         "retries": int(spent["retries"]),
         "misses": dict(out.misses),
         "tokens_s": round(out.tokens / seconds, 1),
-        "first_ms": quantiles(out.first),
-        "between_ms": quantiles(out.between),
+        "first_ms": quantiles(out.first_token),
+        "between_ms": quantiles(out.between_tokens),
         "platform_reads_s": round(spent["read"] / seconds, 1),
         "platform_writes_s": round(spent["write"] / seconds, 2),
     }
@@ -292,7 +292,7 @@
     shapes = list(SHAPES) if options.shape == "both" else [options.shape]
     faults = list(FAULTS) if options.fault == "all" else [options.fault]
     variants = ["naive", "ours"]
-    variants += [f"no {name}" for name in SWITCHES] if options.switches else []
+    variants += [f"no {name}" for name in DECISIONS] if options.switches else []
     rows = []
     for shape in shapes:
         for fault in faults:
--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -35,21 +35,21 @@
 from peridotdock.schema.messages import Entry, HeldFact, HostFact, LoadFact, Ping, Update
 from tests.fakes import FakeEngine
 
-SIZES = (9, 100, 350, 940)
+CANDIDATE_COUNTS = (9, 100, 350, 940)
 
 
-def say(name: str, **figures: object) -> None:
+def print_measurement(name: str, **figures: object) -> None:
     """Print one measurement."""
     print(json.dumps({"measure": name} | figures), flush=True)
 
 
-def clock_us(work: Callable[[], object], repeats: int = 200) -> dict[str, float]:
+def time_call_us(work: Callable[[], object], repeats: int = 200) -> dict[str, float]:
     """Return the time of one call in microseconds: median and 99th percentile."""
     times = []
     for _ in range(repeats):
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         work()
-        times.append((time.perf_counter() - began) * 1e6)
+        times.append((time.perf_counter() - started_at) * 1e6)
     times.sort()
     return {
         "p50_us": round(statistics.median(times), 1),
@@ -77,26 +77,35 @@
         body = cbor2.dumps(msgspec.to_builtins(fact, builtin_types=(bytes,)))
         entry = Entry("host-000", "load", 1, 1, body)
         raw = encode(Update("update", [entry], 1))
-        say("load fact", endpoints=count, bytes=len(raw), **clock_us(lambda raw=raw: decode(raw)))
-    life = "host-000-" + "0" * 16
-    host = HostFact("host-000", life, "zone", "10.0.0.1:1", "10.0.0.1:2", "live", 9)
+        print_measurement(
+            "load fact",
+            endpoints=count,
+            bytes=len(raw),
+            **time_call_us(lambda raw=raw: decode(raw)),
+        )
+    incarnation = "host-000-" + "0" * 16
+    host = HostFact("host-000", incarnation, "zone", "10.0.0.1:1", "10.0.0.1:2", "live", 9)
     body = cbor2.dumps(msgspec.to_builtins(host))
     for count in (1, 9, 350):
         entries = [Entry(f"host-{n:03}", "host", 1, 1, body) for n in range(count)]
         frame = Update("update", entries, 1)
         raw = encode(frame)
-        say("heartbeats", hosts=count, bytes=len(raw), **clock_us(lambda raw=raw: decode(raw)))
-        say("heartbeats sent", hosts=count, **clock_us(lambda frame=frame: encode(frame)))
+        print_measurement(
+            "heartbeats", hosts=count, bytes=len(raw), **time_call_us(lambda raw=raw: decode(raw))
+        )
+        print_measurement(
+            "heartbeats sent", hosts=count, **time_call_us(lambda frame=frame: encode(frame))
+        )
     raw = encode(Ping("ping", 1, 1))
-    say("ping", bytes=len(raw), **clock_us(lambda: decode(raw)))
+    print_measurement("ping", bytes=len(raw), **time_call_us(lambda: decode(raw)))
 
 
 def measure_merge() -> None:
     """Cost of taking a fact into the board and the fleet, and what they weigh."""
     for endpoints, hosts in ((9, 9), (940, 350)):
         before = rss_mb()
-        board = FactTable("me", 1, SystemClock())
-        fleet = Fleet(board, SystemClock())
+        facts = FactTable("me", 1, SystemClock())
+        fleet = Fleet(facts, SystemClock())
         fleet.states = {
             f"runner-{n:04}": EndpointState(f"runner-{n:04}", "", "") for n in range(endpoints)
         }
@@ -106,21 +115,23 @@
         for n in range(hosts):
             part = {name: held[name] for name in names[n * share : (n + 1) * share]}
             fact = HeldFact(part, [], [])
-            board.merge([make_entry(f"h{n}", "held", 1, fact)])
+            facts.merge([make_entry(f"h{n}", "held", 1, fact)])
         fact = make_load_fact(share)
         version = iter(range(2, 10**9))
-        say(
+        print_measurement(
             "merge load fact",
             endpoints=endpoints,
             hosts=hosts,
-            **clock_us(
-                lambda board=board, fact=fact, version=version: board.merge(
+            **time_call_us(
+                lambda facts=facts, fact=fact, version=version: facts.merge(
                     [make_entry("h1", "load", next(version), fact)]
                 )
             ),
         )
-        say("index holders", endpoints=endpoints, **clock_us(fleet._index, 50))
-        say("board and fleet", endpoints=endpoints, hosts=hosts, mb=round(rss_mb() - before, 2))
+        print_measurement("index holders", endpoints=endpoints, **time_call_us(fleet._index, 50))
+        print_measurement(
+            "board and fleet", endpoints=endpoints, hosts=hosts, mb=round(rss_mb() - before, 2)
+        )
 
 
 def make_entry(origin: str, topic: str, version: int, fact: object) -> Entry:
@@ -133,25 +144,25 @@
 def measure_membership() -> None:
     """Cost of looking at all hosts and of the rounds over all endpoints."""
     for hosts in (9, 350):
-        board = FactTable("h0", 1, SystemClock())
+        facts = FactTable("h0", 1, SystemClock())
         own = HostFact("h0", "h0-1", "zone", "", "", "live", 0)
-        membership = Membership(board, own, SystemClock())
-        facts = [HostFact(f"h{n}", f"h{n}-1", "zone", "", "", "live", 0) for n in range(hosts)]
-        board.merge([make_entry(f.host, "host", 1, f) for f in facts])
-        say("look at all hosts", hosts=hosts, **clock_us(membership.live, 50))
+        membership = Membership(facts, own, SystemClock())
+        host_facts = [HostFact(f"h{n}", f"h{n}-1", "zone", "", "", "live", 0) for n in range(hosts)]
+        facts.merge([make_entry(f.host, "host", 1, f) for f in host_facts])
+        print_measurement("look at all hosts", hosts=hosts, **time_call_us(membership.live, 50))
         live = membership.live()
         assignment = Assignment("h0")
         count = 9 if hosts == 9 else 940
         names = [f"runner-{n:04}" for n in range(count)]
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         assignment.own_keys(names, live)
-        first = round((time.perf_counter() - began) * 1e3, 2)
+        first = round((time.perf_counter() - started_at) * 1e3, 2)
 
         def again(assignment=assignment, names=names, live=live) -> None:
             assignment.own_keys(names, live)
 
-        spent = clock_us(again, 50)
-        say("assign endpoints", hosts=hosts, endpoints=count, first_ms=first, **spent)
+        spent = time_call_us(again, 50)
+        print_measurement("assign endpoints", hosts=hosts, endpoints=count, first_ms=first, **spent)
 
 
 def measure_routing() -> None:
@@ -159,8 +170,10 @@
     rng = random.Random(1)
     text = "lorem ipsum " * 700
     blocks = hash_blocks("m@1", text)
-    say("hash a prompt", chars=len(text), **clock_us(lambda: hash_blocks("m@1", text)))
-    for count in SIZES:
+    print_measurement(
+        "hash a prompt", chars=len(text), **time_call_us(lambda: hash_blocks("m@1", text))
+    )
+    for count in CANDIDATE_COUNTS:
         states = [EndpointState(f"e{n}", "", f"d{n % 4}") for n in range(count)]
         now = time.monotonic()
         for state in states:
@@ -168,11 +181,11 @@
             state.add_cached_blocks(blocks[:5], now)
             for n in range(20):
                 state.note_sent(f"r{n}", now, 500)
-        wish = RoutingProfile("m@1", 2000, blocks, 5, 0.49, "d0")
-        say(
+        profile = RoutingProfile("m@1", 2000, blocks, 5, 0.49, "d0")
+        print_measurement(
             "routing decision",
             candidates=count,
-            **clock_us(lambda s=states, w=wish, n=now: choose(s, w, n, rng), 2000),
+            **time_call_us(lambda s=states, w=profile, n=now: choose(s, w, n, rng), 2000),
         )
 
 
@@ -206,10 +219,10 @@
         make_plan(accepted, views, demand)
         peak = tracemalloc.get_traced_memory()[1] / 1e6
         tracemalloc.stop()
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         plan = make_plan(accepted, views, demand)
-        spent = (time.perf_counter() - began) * 1e3
-        say(
+        spent = (time.perf_counter() - started_at) * 1e3
+        print_measurement(
             "plan",
             engines=engines,
             models=models,
@@ -226,11 +239,11 @@
         ledger = Ledger("e0", "h0-1", 1, count, "1", rows)
         value = ledger.to_value()
         report = FakeEngine((100,) * 8, True).report()
-        say(
+        print_measurement(
             "ledger round",
             items=count,
             bytes=len(json.dumps(value)),
-            **clock_us(lambda v=value, r=report: observe(read_ledger(v), r)),
+            **time_call_us(lambda v=value, r=report: observe(read_ledger(v), r)),
         )
 
 
@@ -251,13 +264,13 @@
         changed["models"][1]["version"] = "2"
         changed["sequence"] += 1
         changes = manifests.diff(document, changed)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         checked = check_all(raw) if engines < 100 else manifests.check(raw)
-        spent = (time.perf_counter() - began) * 1e3
-        began = time.perf_counter()
+        spent = (time.perf_counter() - started_at) * 1e3
+        started_at = time.perf_counter()
         manifests.digest(manifests.apply_diff(document, changes))
-        applied = (time.perf_counter() - began) * 1e3
-        say(
+        applied = (time.perf_counter() - started_at) * 1e3
+        print_measurement(
             "manifest",
             engines=engines,
             models=models,
@@ -282,23 +295,27 @@
         url = f"ws://127.0.0.1:{port}"
         before = rss_mb()
         conns = [await connect(url, compression=None, proxy=None) for _ in range(100)]
-        say("idle links", links=100, kb_each_end=round((rss_mb() - before) * 1000 / 200, 1))
+        print_measurement(
+            "idle links", links=100, kb_each_end=round((rss_mb() - before) * 1000 / 200, 1)
+        )
         raw = encode(Ping("ping", 1, 1))
         count = 3000
-        began, used = time.perf_counter(), time.process_time()
+        started_at, used = time.perf_counter(), time.process_time()
         for _ in range(count):
             await conns[0].send(raw)
             decode(await conns[0].recv())
         spent = (time.process_time() - used) / count / 2 * 1e6
-        wall = (time.perf_counter() - began) / count * 1e6
-        say("small message, both ends", cpu_us=round(spent, 1), round_trip_us=round(wall, 1))
+        wall = (time.perf_counter() - started_at) / count * 1e6
+        print_measurement(
+            "small message, both ends", cpu_us=round(spent, 1), round_trip_us=round(wall, 1)
+        )
         for conn in conns:
             await conn.close()
 
 
 def main() -> int:
     """Run all measurements."""
-    say("memory at import", mb=round(rss_mb(), 1))
+    print_measurement("memory at import", mb=round(rss_mb(), 1))
     measure_frames()
     measure_merge()
     measure_membership()
--- a/extras/bench_clients.py
+++ b/extras/bench_clients.py
@@ -14,14 +14,14 @@
 
 from extras.fleet_processes import Process
 
-COUNT = 300
-AT_ONCE = 8
+REQUESTS_PER_ROUND = 300
+CONCURRENCY = 8
 ROUNDS = 3
 BODY = json.dumps({"model": "m", "prompt": "x", "stream": True, "max_tokens": 20}).encode()
 ORDER = {"order": 1, "action": "load", "item": "m@1", "bytes": 1, "accelerators": [0]}
 
 
-async def by_aiohttp(session: aiohttp.ClientSession, url: str) -> int:
+async def stream_with_aiohttp(session: aiohttp.ClientSession, url: str) -> int:
     """Stream once with aiohttp; return the bytes read."""
     size = 0
     async with session.post(f"{url}/v1/completions", data=BODY) as resp:
@@ -30,7 +30,7 @@
     return size
 
 
-async def by_blacksheep(client: ClientSession, url: str) -> int:
+async def stream_with_blacksheep(client: ClientSession, url: str) -> int:
     """Stream once with blacksheep's client; return the bytes read."""
     content = Content(b"application/json", BODY)
     request = Request("POST", f"{url}/v1/completions".encode(), []).with_content(content)
@@ -43,7 +43,7 @@
 
 async def drive(work, client, url: str) -> tuple[float, int]:
     """Return processor milliseconds a request, and the bytes of one answer."""
-    left = iter(range(COUNT))
+    left = iter(range(REQUESTS_PER_ROUND))
     sizes = set()
 
     async def worker() -> None:
@@ -51,8 +51,8 @@
             sizes.add(await work(client, url))
 
     used = time.process_time()
-    await asyncio.gather(*(worker() for _ in range(AT_ONCE)))
-    return (time.process_time() - used) / COUNT * 1000, max(sizes)
+    await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
+    return (time.process_time() - used) / REQUESTS_PER_ROUND * 1000, max(sizes)
 
 
 async def main_async(url: str) -> None:
@@ -61,7 +61,10 @@
         async with session.post(f"{url}/control/orders", json=ORDER) as resp:
             await resp.read()
         other = ClientSession()
-        pairs = (("aiohttp", by_aiohttp, session), ("blacksheep", by_blacksheep, other))
+        pairs = (
+            ("aiohttp", stream_with_aiohttp, session),
+            ("blacksheep", stream_with_blacksheep, other),
+        )
         for number in range(ROUNDS):
             for name, work, client in pairs:
                 spent, size = await drive(work, client, url)
--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -46,19 +46,19 @@
 from tests.standins.tables import TableStandin
 
 ROLES = ("ordinary", "hub", "holder")
-MEASURED = "host-000"
+MEASURED_HOST_ID = "host-000"
 PLAYED_HUB = "host-001"
-KEY = "a key of sixteen"
+CLUSTER_KEY = "a key of sixteen"
 # A host's share of a busy day: requests a second, seconds that one takes, prompt tokens.
 REQUESTS_PER_SECOND = 4.0
 REQUEST_SECONDS = 1.5
 PROMPT_TOKENS = 2000
 # Share of a host's looks at which other requests wait for a model than before.
-WANTS_CHANGE = 0.1
-ITEMS_ASKED = 12
+WANTS_CHANGE_SHARE = 0.1
+ITEMS_IN_DEMAND = 12
 MODELS_PER_ENGINE = 2
-ROWS_SECONDS = 0.3
-ORDERS_SECONDS = 0.5
+ROWS_INTERVAL_SECONDS = 0.3
+ORDERS_INTERVAL_SECONDS = 0.5
 SETTLE_SECONDS = 12.0
 
 
@@ -88,7 +88,7 @@
     return CONFIG | {"services": services}
 
 
-class PlayedHost:
+class SimulatedHost:
     """Another host: it links to one address and tells facts, and does nothing else."""
 
     def __init__(self, number: int, size: Size, power: int, rng: random.Random):
@@ -100,54 +100,54 @@
             host_id=self.name,
             domain=f"zone-{number % 4}",
             platform_url="http://unused",
-            cluster_key=KEY,
+            cluster_key=CLUSTER_KEY,
             peer_ip=self.address.ip,
             peer_port=self.address.port,
         )
         ctx = build_context(cfg, rng=rng)
-        self.board = FactTable(self.name, ctx.epoch, ctx.clock)
-        self.mesh = Mesh(ctx, self.board, lambda digest: b"", lambda found: [], self._audience)
+        self.facts = FactTable(self.name, ctx.epoch, ctx.clock)
+        self.mesh = Mesh(ctx, self.facts, lambda digest: b"", lambda found: [], self._select_links)
         entry = f"10.0.0.{number}:8080"
         own = HostFact(
             self.name, ctx.incarnation, cfg.domain, entry, str(self.address), "live", 0, power
         )
-        self.membership = Membership(self.board, own, ctx.clock)
+        self.membership = Membership(self.facts, own, ctx.clock)
         self.incarnation = ctx.incarnation
 
-    def _audience(self, slot: tuple[str, str], links: Collection[Link]) -> Iterable[Link]:
+    def _select_links(self, slot: tuple[str, str], links: Collection[Link]) -> Iterable[Link]:
         return links if slot[0] == self.name else ()
 
-    def tell_work(self, engines: list[str]) -> None:
+    def publish_work(self, engines: list[str]) -> None:
         """Tell of work on some engines, and now and then of what requests wait for."""
         rng = self._rng
         busy = rng.sample(engines, min(len(engines), 5))
-        self.board.publish("work", encode_work({name: (1, rng.randrange(4000)) for name in busy}))
-        if rng.random() < WANTS_CHANGE:
+        self.facts.publish("work", encode_work({name: (1, rng.randrange(4000)) for name in busy}))
+        if rng.random() < WANTS_CHANGE_SHARE:
             items = {rng.choice(model_names(self._size)): 1}
-            self.board.publish("wants", WantsFact(items if rng.random() < 0.5 else {}, []))
+            self.facts.publish("wants", WantsFact(items if rng.random() < 0.5 else {}, []))
 
-    def tell_demand(self) -> None:
+    def publish_demand(self) -> None:
         """Tell what callers ask for."""
-        names = self._rng.sample(model_names(self._size)[:20], ITEMS_ASKED)
+        names = self._rng.sample(model_names(self._size)[:20], ITEMS_IN_DEMAND)
         items = [f"{name}/a{self._rng.randrange(20)}" for name in names[::2]] + names[1::2]
         rates = {item: round(self._rng.random() * 0.05, 4) for item in items}
-        self.board.publish("demand", DemandFact(rates, {}, [], rates))
+        self.facts.publish("demand", DemandFact(rates, {}, [], rates))
 
 
-class PlayedHub(PlayedHost):
+class SimulatedHub(SimulatedHost):
     """The hub, played: it passes on what all the other played hosts tell."""
 
-    upward: frozenset[str] = frozenset()
+    upward_topics: frozenset[str] = frozenset()
 
-    def _audience(self, slot: tuple[str, str], links: Collection[Link]) -> Iterable[Link]:
-        return links if slot[1] not in HUB_TOPICS or slot[1] in self.upward else ()
+    def _select_links(self, slot: tuple[str, str], links: Collection[Link]) -> Iterable[Link]:
+        return links if slot[1] not in HUB_TOPICS or slot[1] in self.upward_topics else ()
 
-    def take(self, other: PlayedHost) -> None:
+    def merge_facts_of(self, other: SimulatedHost) -> None:
         """Take in the facts of another played host."""
-        self.board.merge(facts_of(other.board, [(other.name, t) for t in ("host", *HUB_TOPICS)]))
+        self.facts.merge(facts_of(other.facts, [(other.name, t) for t in ("host", *HUB_TOPICS)]))
 
 
-class PlayedDeployment:
+class SimulatedDeployment:
     """All but the measured host."""
 
     def __init__(self, size: Size, role: str, rng: random.Random):
@@ -156,9 +156,9 @@
         self._rng = rng
         self.store = TableStandin()
         self.engines: list[RunnerStandin] = []
-        self.hosts: list[PlayedHost] = []
-        self.hub = PlayedHub(1, size, int(role != "hub"), rng)
-        self.hub.upward = frozenset({"wants", "demand"} if role == "holder" else ())
+        self.hosts: list[SimulatedHost] = []
+        self.hub = SimulatedHub(1, size, int(role != "hub"), rng)
+        self.hub.upward_topics = frozenset({"wants", "demand"} if role == "holder" else ())
         self._tasks: list[asyncio.Task] = []
 
     async def start(self) -> None:
@@ -177,7 +177,7 @@
             row = {"holder": self.hub.incarnation, "machine": "", "term": 1}
             self.store.put("peridotdock", "leader", row)
         count = range(2, self._size.hosts)
-        self.hosts = [PlayedHost(number, self._size, 0, self._rng) for number in count]
+        self.hosts = [SimulatedHost(number, self._size, 0, self._rng) for number in count]
         for host in (self.hub, *self.hosts):
             host.membership.beat()
         await self.hub.mesh.start()
@@ -187,7 +187,7 @@
         warm = {"at_hand": {"in_memory": disk[:6], "on_disk": disk}}
         return lambda: self.store.put("servers", engine.name, engine.entry("engines", **warm))
 
-    def play(self, measured: str) -> None:
+    def start_publishing(self, measured: str) -> None:
         """Begin to tell facts; in the role of the hub, link all hosts to the measured one."""
         hosts = [self.hub, *self.hosts]
         names = [engine.name for engine in self.engines]
@@ -196,22 +196,22 @@
             if self._role == "hub":
                 host.mesh.connect_to_seed(measured)
             work = max(WORK_INTERVAL_SECONDS, slow)
-            self._every(host.membership.beat_seconds, host.membership.beat)
-            self._every(lambda work=work: work, lambda host=host: host.tell_work(names))
-            self._every(lambda: DEMAND_INTERVAL_SECONDS, host.tell_demand)
+            self._repeat(host.membership.beat_seconds, host.membership.beat)
+            self._repeat(lambda work=work: work, lambda host=host: host.publish_work(names))
+            self._repeat(lambda: DEMAND_INTERVAL_SECONDS, host.publish_demand)
         if self._role == "ordinary":
-            self._every(lambda: ORDERS_SECONDS, self._tell_orders)
-            self._every(lambda: ROWS_SECONDS, self._tell_rows)
+            self._repeat(lambda: ORDERS_INTERVAL_SECONDS, self._publish_orders)
+            self._repeat(lambda: ROWS_INTERVAL_SECONDS, self._publish_rows)
         if self._role != "hub":
-            self._every(lambda: WORK_INTERVAL_SECONDS, lambda: self._tell_loads(names))
-            self._every(lambda: slow, self._pass_on)
+            self._repeat(lambda: WORK_INTERVAL_SECONDS, lambda: self._publish_loads(names))
+            self._repeat(lambda: slow, self._relay_facts)
 
-    def _pass_on(self) -> None:
+    def _relay_facts(self) -> None:
         """Let the played hub pass on what is new, as seldom as a hub with so many links does."""
         for host in self.hosts:
-            self.hub.take(host)
+            self.hub.merge_facts_of(host)
 
-    def _every(self, seconds: Callable[[], float], work: Callable[[], None]) -> None:
+    def _repeat(self, seconds: Callable[[], float], work: Callable[[], None]) -> None:
         async def repeat() -> None:
             await asyncio.sleep(self._rng.random() * seconds())
             while True:
@@ -220,49 +220,49 @@
 
         self._tasks.append(asyncio.create_task(repeat()))
 
-    def _tell_orders(self) -> None:
+    def _publish_orders(self) -> None:
         loads = {"engines": [round(self._rng.random(), 2)]}
-        self.hub.board.publish("orders", OrdersFact(1, [], loads=loads))
+        self.hub.facts.publish("orders", OrdersFact(1, [], loads=loads))
 
-    def _tell_rows(self) -> None:
+    def _publish_rows(self) -> None:
         now, version = time.monotonic_ns(), self.store.version
         for table in ("op", "servers"):
             frame = Rows("rows", table, self.hub.incarnation, now, version, version, {}, False)
             self.hub.mesh.send_rows(frame)
 
-    def _tell_loads(self, names: list[str]) -> None:
+    def _publish_loads(self, names: list[str]) -> None:
         rows = {name: (5, self._rng.randrange(9000)) for name in names}
-        self.hub.board.publish("loads", encode_work(rows))
+        self.hub.facts.publish("loads", encode_work(rows))
 
 
-def play_others(size: Size, role: str, pipe: Connection) -> None:
+def simulate_others(size: Size, role: str, pipe: Connection) -> None:
     """Play all but the measured host, in a process of its own."""
 
     async def run() -> None:
-        deployment = PlayedDeployment(size, role, random.Random(1))
+        deployment = SimulatedDeployment(size, role, random.Random(1))
         await deployment.start()
         pipe.send((deployment.store.address, str(deployment.hub.address)))
         loop = asyncio.get_running_loop()
         measured = await loop.run_in_executor(None, pipe.recv)
-        deployment.play(measured)
+        deployment.start_publishing(measured)
         await asyncio.Event().wait()
 
     asyncio.run(run())
 
 
-def make_node(store: str, hub: str, role: str) -> RelayHost:
+def make_host(store: str, hub: str, role: str) -> RelayHost:
     """Return the measured host."""
     listen = Listen(*(free_address() for _ in range(4)))
     seeds: tuple[Address, ...] = () if role == "hub" else (parse_address(hub),)
     link = 1000.0 if role == "hub" else 10.0
     settings = HostSettings(
-        MEASURED, "zone-0", listen, seeds, parse_address(store), BOUNDS, link_mbps=link
+        MEASURED_HOST_ID, "zone-0", listen, seeds, parse_address(store), BOUNDS, link_mbps=link
     )
     cfg = Settings(
-        host_id=MEASURED,
+        host_id=MEASURED_HOST_ID,
         domain="zone-0",
         platform_url="http://unused",
-        cluster_key=KEY,
+        cluster_key=CLUSTER_KEY,
         peer_ip=listen.peers.ip,
         peer_port=listen.peers.port,
     )
@@ -271,40 +271,42 @@
     )
 
 
-async def drive(node: RelayHost) -> None:
+async def simulate_requests(host: RelayHost) -> None:
     """Note requests on engines in the host's fleet, without sending any."""
     rng = random.Random(3)
     loop = asyncio.get_running_loop()
     for number in range(1_000_000):
-        states = list(node.fleet.states.values())
-        wish = InferenceSpec("m0", "", PROMPT_TOKENS, 50, (PromptPart("a", 1000),))
+        states = list(host.fleet.states.values())
+        inference = InferenceSpec("m0", "", PROMPT_TOKENS, 50, (PromptPart("a", 1000),))
         if states:
-            state, ask = rng.choice(states), f"r{number}"
-            node.fleet.request_sent(state, ask, wish, PROMPT_TOKENS)
-            node.peers.demand_meter.add(f"m{rng.randrange(20)}", 0.05, time.monotonic())
-            loop.call_later(0.1, node.fleet.first_token_received, state, ask, wish)
-            loop.call_later(REQUEST_SECONDS, node.fleet.request_ended, state, ask, "engines", False)
+            state, request_id = rng.choice(states), f"r{number}"
+            host.fleet.request_sent(state, request_id, inference, PROMPT_TOKENS)
+            host.peers.demand_meter.add(f"m{rng.randrange(20)}", 0.05, time.monotonic())
+            loop.call_later(0.1, host.fleet.first_token_received, state, request_id, inference)
+            loop.call_later(
+                REQUEST_SECONDS, host.fleet.request_ended, state, request_id, "engines", False
+            )
         await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
 
-async def span(seconds: float) -> float:
+async def measure_cores(seconds: float) -> float:
     """Let the host run, and return the processor seconds that a second took."""
-    began, used = time.monotonic(), time.process_time()
+    started_at, used = time.monotonic(), time.process_time()
     await asyncio.sleep(seconds)
-    return (time.process_time() - used) / (time.monotonic() - began)
+    return (time.process_time() - used) / (time.monotonic() - started_at)
 
 
-def top(profile: cProfile.Profile, seconds: float, count: int) -> list[str]:
+def format_profile(profile: cProfile.Profile, seconds: float, count: int) -> list[str]:
     """Return the functions with the most processor time in them and below them."""
     rows = []
     for (path, _, name), (_, calls, own, whole, _) in pstats.Stats(profile).stats.items():
         if "peridotdock" in path or own / seconds > 0.002:
-            place = f"{os.path.basename(path)}:{name}"
-            rows.append((whole / seconds, own / seconds, calls / seconds, place))
+            function = f"{os.path.basename(path)}:{name}"
+            rows.append((whole / seconds, own / seconds, calls / seconds, function))
     rows.sort(reverse=True)
     lines = [f"{'ms/s below':>10} {'ms/s own':>9} {'calls/s':>8}"]
-    for whole, own, calls, place in rows[:count]:
-        lines.append(f"{whole * 1000:10.2f} {own * 1000:9.2f} {calls:8.1f}  {place}")
+    for whole, own, calls, function in rows[:count]:
+        lines.append(f"{whole * 1000:10.2f} {own * 1000:9.2f} {calls:8.1f}  {function}")
     return lines
 
 
@@ -313,34 +315,34 @@
 ) -> tuple[dict, cProfile.Profile]:
     """Run the host in a role; return its figures and a profile of the same length."""
     store, hub = pipe.recv()
-    node = make_node(store, hub, role)
-    await node.start()
-    pipe.send(str(node.settings.listen.peers))
-    driver = asyncio.create_task(drive(node))
-    await wait(node)
-    cores = await span(seconds)
+    host = make_host(store, hub, role)
+    await host.start()
+    pipe.send(str(host.settings.listen.peers))
+    driver = asyncio.create_task(simulate_requests(host))
+    await wait(host)
+    cores = await measure_cores(seconds)
     with open("/proc/self/statm") as statm:
         mb = int(statm.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
     profile = cProfile.Profile()
     profile.enable()
-    profiled = await span(seconds)
+    profiled = await measure_cores(seconds)
     profile.disable()
     figures = {
         "role": role,
         "cores": round(cores, 4),
         "profiled_cores": round(profiled, 4),
         "memory_mb": round(mb, 1),
-        "links": len(node.peers.mesh.peers()),
-        "live": len(node.peers.membership.live()),
-        "term": node.leadership.term,
-        "endpoints": len(node.fleet.states),
+        "links": len(host.peers.mesh.peers()),
+        "live": len(host.peers.membership.live()),
+        "term": host.leadership.term,
+        "endpoints": len(host.fleet.states),
     }
     driver.cancel()
-    await node.stop()
+    await host.stop()
     return figures, profile
 
 
-async def settle(node: RelayHost) -> None:
+async def settle(host: RelayHost) -> None:
     """Wait until the start's work is done."""
     await asyncio.sleep(SETTLE_SECONDS)
 
@@ -359,7 +361,7 @@
     spawn = multiprocessing.get_context("spawn")
     for role in options.role or ROLES:
         pipe, theirs = spawn.Pipe()
-        child = spawn.Process(target=play_others, args=(size, role, theirs), daemon=True)
+        child = spawn.Process(target=simulate_others, args=(size, role, theirs), daemon=True)
         child.start()
         try:
             figures, profile = asyncio.run(measure(role, pipe, options.seconds, settle))
@@ -368,7 +370,7 @@
             child.join()
         print(json.dumps(figures | vars(size)), flush=True)
         if options.top:
-            print("\n".join(top(profile, options.seconds, options.top)), flush=True)
+            print("\n".join(format_profile(profile, options.seconds, options.top)), flush=True)
     return 0
 
 
--- a/extras/bench_idle.py
+++ b/extras/bench_idle.py
@@ -19,13 +19,13 @@
 from extras.fleet_processes import Deployment, Process
 from extras.samples import HANEUL
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def rss_mb(process: Process) -> float:
     """Return a child's resident memory."""
     with open(f"/proc/{process.child.pid}/statm") as statm:
-        return int(statm.read().split()[1]) * PAGE / 1e6
+        return int(statm.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 async def peer_bytes(deployment: Deployment) -> list[float]:
@@ -40,7 +40,7 @@
     return found
 
 
-async def calls(deployment: Deployment) -> dict[str, int]:
+async def platform_calls(deployment: Deployment) -> dict[str, int]:
     """Return the platform's count of reads and writes."""
     async with (
         aiohttp.ClientSession() as session,
@@ -56,15 +56,15 @@
         deployment.start()
         document = deployment.manifest()
         document["adapters"] = document["adapters"][:13]
-        deployment.wait_true(deployment.publish(document)["generation"])
+        deployment.wait_converged(deployment.publish(document)["generation"])
         time.sleep(3)
-        before = asyncio.run(peer_bytes(deployment)), asyncio.run(calls(deployment))
+        before = asyncio.run(peer_bytes(deployment)), asyncio.run(platform_calls(deployment))
         used = [cpu_seconds(host) for host in deployment.hosts.values()]
-        began = time.monotonic()
+        started_at = time.monotonic()
         time.sleep(seconds)
-        spent = time.monotonic() - began
+        spent = time.monotonic() - started_at
         used = [cpu_seconds(h) - u for h, u in zip(deployment.hosts.values(), used, strict=True)]
-        after = asyncio.run(peer_bytes(deployment)), asyncio.run(calls(deployment))
+        after = asyncio.run(peer_bytes(deployment)), asyncio.run(platform_calls(deployment))
         moved = [(b - a) / spent for a, b in zip(before[0], after[0], strict=True)]
         return {
             "hosts": hosts,
--- a/extras/bench_path.py
+++ b/extras/bench_path.py
@@ -17,23 +17,23 @@
 from extras.samples import HANEUL, TOKEN
 
 MODEL = "haneul-model-0"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_seconds(process: Process) -> float:
     """Return the processor time a child has used."""
     with open(f"/proc/{process.child.pid}/stat") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-async def ask(session: aiohttp.ClientSession, url: str, tokens: int, times: list) -> None:
+async def send_request(session: aiohttp.ClientSession, url: str, tokens: int, times: list) -> None:
     """Send one streamed request; note the time to its first token and the times between."""
     body = {"model": MODEL, "prompt": "hello", "stream": True, "max_tokens": tokens}
-    head = {"authorization": f"Bearer {TOKEN}", "x-request-id": os.urandom(8).hex()}
-    began = last = time.perf_counter()
+    headers = {"authorization": f"Bearer {TOKEN}", "x-request-id": os.urandom(8).hex()}
+    started_at = last = time.perf_counter()
     gaps = []
-    async with session.post(f"{url}/v1/completions", json=body, headers=head) as resp:
+    async with session.post(f"{url}/v1/completions", json=body, headers=headers) as resp:
         async for line in resp.content:
             if line.startswith(b"data: "):
                 now = time.perf_counter()
@@ -41,10 +41,10 @@
                 last = now
     if len(gaps) < tokens:
         raise RuntimeError(f"an answer of {len(gaps)} frames from {url}")
-    times.append((gaps[0], sum(gaps[1:]) / len(gaps[1:]), last - began))
+    times.append((gaps[0], sum(gaps[1:]) / len(gaps[1:]), last - started_at))
 
 
-async def drive(url: str, count: int, at_once: int, tokens: int) -> tuple[list, float]:
+async def drive(url: str, count: int, concurrency: int, tokens: int) -> tuple[list, float]:
     """Send ``count`` requests, ``at_once`` at a time; return their times and the whole time."""
     times: list = []
     left = iter(range(count))
@@ -53,11 +53,11 @@
 
         async def worker() -> None:
             for _ in left:
-                await ask(session, url, tokens, times)
+                await send_request(session, url, tokens, times)
 
-        began = time.perf_counter()
-        await asyncio.gather(*(worker() for _ in range(at_once)))
-        return times, time.perf_counter() - began
+        started_at = time.perf_counter()
+        await asyncio.gather(*(worker() for _ in range(concurrency)))
+        return times, time.perf_counter() - started_at
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -93,7 +93,7 @@
         deployment.start()
         document = deployment.manifest()
         document["models"], document["adapters"] = document["models"][:1], []
-        deployment.wait_true(deployment.publish(document)["generation"])
+        deployment.wait_converged(deployment.publish(document)["generation"])
         engine, host = deployment.engines["engine-0"], deployment.hosts["host-0"]
         for number in range(options.rounds):
             straight, _ = asyncio.run(
--- a/extras/bench_relay.py
+++ b/extras/bench_relay.py
@@ -21,7 +21,7 @@
 from tests.standins.runner import RunnerStandin
 from tests.standins.tables import TableStandin
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 BOUNDS = {
     "drain_ms": 2000,
     "config_ms": 2000,
@@ -36,10 +36,10 @@
 }
 PATHS = ("/recap/", "/recap/", "/fetch/")
 EVENTS = 34
-EVENT_SECONDS = 0.02
+EVENT_INTERVAL_SECONDS = 0.02
 # Seconds until a host surely serves, profiled too, and requests before the first round.
 START_SECONDS = 3.0
-WARM_UP = 60
+WARM_UP_REQUESTS = 60
 
 
 def write_settings(path: Path, store: str) -> str:
@@ -54,39 +54,39 @@
     return listen["front"]
 
 
-async def ask(session: aiohttp.ClientSession, url: str, path: str, number: int) -> float:
+async def send_request(session: aiohttp.ClientSession, url: str, path: str, number: int) -> float:
     """Send one request and read its answer whole; return the seconds it took."""
-    rows = {"host": "shop.example", "x-attempt-id": f"a{number}", "x-deadline-ms": "6000"}
+    headers = {"host": "shop.example", "x-attempt-id": f"a{number}", "x-deadline-ms": "6000"}
     if path == "/recap/":
-        rows |= {
+        headers |= {
             "x-model": "m0",
             "x-token-counts": "900,50",
             "x-prompt-prefix": f"aa:600,{number:x}:300",
         }
-    began = time.perf_counter()
-    async with session.post(url + path, headers=rows, data=b"x" * 600) as resp:
+    started_at = time.perf_counter()
+    async with session.post(url + path, headers=headers, data=b"x" * 600) as resp:
         await resp.read()
         if resp.status != 200:
             raise RuntimeError(f"status {resp.status}")
-    return time.perf_counter() - began
+    return time.perf_counter() - started_at
 
 
 async def drive(url: str, count: int, per_second: float) -> list[float]:
     """Send ``count`` requests at a steady rate."""
     tasks = []
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for number in range(count):
             path = PATHS[number % len(PATHS)]
-            tasks.append(asyncio.create_task(ask(session, url, path, number)))
-            await asyncio.sleep(max(0.0, began + number / per_second - time.perf_counter()))
+            tasks.append(asyncio.create_task(send_request(session, url, path, number)))
+            await asyncio.sleep(max(0.0, started_at + number / per_second - time.perf_counter()))
         return await asyncio.gather(*tasks)
 
 
 def cpu_seconds(pid: int) -> float:
     """Return the processor time a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 async def start_runners(store: TableStandin, count: int) -> list[RunnerStandin]:
@@ -96,7 +96,7 @@
         for index in range(number):
             models = ("m0",) if service == "engines" else ()
             runner = await RunnerStandin(f"{service}-{index}", models).start()
-            runner.pace, runner.events = EVENT_SECONDS, EVENTS
+            runner.pace, runner.events = EVENT_INTERVAL_SECONDS, EVENTS
             store.put("servers", runner.name, runner.entry(service))
             started.append(runner)
     return started
@@ -125,7 +125,7 @@
         host = await start_host(settings, options)
         try:
             await asyncio.sleep(START_SECONDS)
-            await drive(url, WARM_UP, options.per_second)
+            await drive(url, WARM_UP_REQUESTS, options.per_second)
             for number in range(options.rounds):
                 await measure_round(number, url, host.pid, options)
         finally:
@@ -138,14 +138,14 @@
 
 async def measure_round(number: int, url: str, pid: int, options: argparse.Namespace) -> None:
     """Drive the host once and report."""
-    used, began = cpu_seconds(pid), time.perf_counter()
+    used, started_at = cpu_seconds(pid), time.perf_counter()
     times = sorted(await drive(url, options.count, options.per_second))
     used = cpu_seconds(pid) - used
     found = {
         "round": number,
         "requests": options.count,
         "cpu_ms_a_request": round(1000 * used / options.count, 3),
-        "core": round(used / (time.perf_counter() - began), 3),
+        "core": round(used / (time.perf_counter() - started_at), 3),
         "p50_ms": round(1000 * times[len(times) // 2], 1),
     }
     print(json.dumps(found), flush=True)
--- a/extras/bench_start.py
+++ b/extras/bench_start.py
@@ -12,10 +12,10 @@
 import sys
 from dataclasses import dataclass
 
-BARE = "pass"
-LIBRARIES = "import aiohttp, blacksheep, uvicorn, msgspec, cbor2, xxhash, prometheus_client"
-DAEMON = "import peridotdock.relay.daemon"
-NO_COLLECTOR = f"import gc; gc.disable(); {DAEMON}"
+EMPTY_PROGRAM = "pass"
+IMPORT_LIBRARIES = "import aiohttp, blacksheep, uvicorn, msgspec, cbor2, xxhash, prometheus_client"
+IMPORT_DAEMON = "import peridotdock.relay.daemon"
+IMPORT_DAEMON_WITHOUT_GC = f"import gc; gc.disable(); {IMPORT_DAEMON}"
 NO_CERTIFICATES = {"SSL_CERT_FILE": os.devnull, "SSL_CERT_DIR": os.devnull}
 
 
@@ -29,15 +29,20 @@
     environ: tuple[tuple[str, str], ...] = ()
 
 
-WITHOUT = tuple(NO_CERTIFICATES.items())
+NO_CERTIFICATES_ENVIRON = tuple(NO_CERTIFICATES.items())
 VARIANTS = (
-    Variant("interpreter alone", BARE),
-    Variant("interpreter without the system's packages", BARE, ("-S",)),
-    Variant("libraries alone", LIBRARIES, ("-S",), WITHOUT),
-    Variant("daemon", DAEMON),
-    Variant("without the system's packages", DAEMON, ("-S",)),
-    Variant("and without certificates", DAEMON, ("-S",), WITHOUT),
-    Variant("and without the collector, as it runs", NO_COLLECTOR, ("-S",), WITHOUT),
+    Variant("interpreter alone", EMPTY_PROGRAM),
+    Variant("interpreter without the system's packages", EMPTY_PROGRAM, ("-S",)),
+    Variant("libraries alone", IMPORT_LIBRARIES, ("-S",), NO_CERTIFICATES_ENVIRON),
+    Variant("daemon", IMPORT_DAEMON),
+    Variant("without the system's packages", IMPORT_DAEMON, ("-S",)),
+    Variant("and without certificates", IMPORT_DAEMON, ("-S",), NO_CERTIFICATES_ENVIRON),
+    Variant(
+        "and without the collector, as it runs",
+        IMPORT_DAEMON_WITHOUT_GC,
+        ("-S",),
+        NO_CERTIFICATES_ENVIRON,
+    ),
 )
 
 
--- a/extras/check_wire.py
+++ b/extras/check_wire.py
@@ -10,7 +10,7 @@
 
 PACKAGE = Path(__file__).resolve().parent.parent / "peridotdock"
 ADAPTER = PACKAGE / "platform"
-WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     r"x-attempt|x-target|x-not-exec|x-prompt-pref|x-token-count|x-response-sig|x-model|rows-(tx|get|feed)"
     r"|kv-(move|events|list|from|fetch)|fencing_token|at_hand\"|zone\"|x-tenant|api_keys"
     r"|server-(limit|leaving)|\"servers\"|blob-(put|get)",
@@ -25,7 +25,7 @@
         if ADAPTER in path.parents:
             continue
         for number, line in enumerate(path.read_text().splitlines(), 1):
-            if WORDS.search(line):
+            if PLATFORM_NAMES.search(line):
                 print(f"{path.relative_to(PACKAGE.parent)}:{number}: {line.strip()}")
                 found += 1
     return 1 if found else 0
--- a/extras/demo.py
+++ b/extras/demo.py
@@ -20,7 +20,7 @@
     try:
         deployment.start()
         published = deployment.publish(deployment.manifest())
-        deployment.wait_true(published["generation"])
+        deployment.wait_converged(published["generation"])
         print(f"token: {TOKEN}", flush=True)
         print(f"ready: {next(iter(deployment.hosts.values())).url}", flush=True)
         signal.pause()
--- a/extras/engine_model.py
+++ b/extras/engine_model.py
@@ -15,11 +15,11 @@
 from typing import Any, Protocol
 
 # Seconds from a host to an engine, one way.
-WAY_SECONDS = 0.001
+TRANSIT_SECONDS = 0.001
 # Seconds after the last arrival until the play ends.
-AFTER_SECONDS = 3.0
+TAIL_SECONDS = 3.0
 # Share of its prompt that a caller shares with others and that is kept on the engine, on average.
-KEPT_SHARE = 0.65
+CACHED_SHARE = 0.65
 
 
 @dataclass(frozen=True)
@@ -29,16 +29,16 @@
     An event of a stream holds ``event_tokens``; each step makes one token of each stream.
     """
 
-    step: float = 0.00523
-    per_token: float = 1 / 38_400
-    piece: int = 2048
-    places: int = 64
+    step_seconds: float = 0.00523
+    seconds_per_token: float = 1 / 38_400
+    chunk_tokens: int = 2048
+    slots: int = 64
     event_tokens: int = 6
 
     @property
-    def event(self) -> float:
+    def event_seconds(self) -> float:
         """Return the seconds between two events while nothing is read."""
-        return self.step * self.event_tokens
+        return self.step_seconds * self.event_tokens
 
 
 @dataclass(frozen=True)
@@ -46,15 +46,15 @@
     """Requests of one kind: how many a second, their sizes, and what their callers accept."""
 
     rate: float
-    prompt: float
+    prompt_tokens: float
     spread: float
-    most: float
-    shared: float
+    max_tokens: float
+    shared_tokens: float
     events: float
     rank: int
-    target: float
+    target_seconds: float
     worth: float
-    models: Sequence[float]
+    model_weights: Sequence[float]
 
 
 @dataclass
@@ -63,18 +63,18 @@
 
     id: int
     route: Route
-    came: float
+    arrived_at: float
     host: int
     model: int
     tokens: int
-    output: int
+    output_events: int
     engine: int = -1
-    sent: float = 0.0
-    unread: int = 0
-    made: int = 0
-    first: float | None = None
-    last: float = 0.0
-    pause: float = 0.0
+    sent_at: float = 0.0
+    uncomputed_tokens: int = 0
+    generated_tokens: int = 0
+    first_token_at: float | None = None
+    last_event_at: float = 0.0
+    longest_pause: float = 0.0
     denied: bool = False
 
 
@@ -84,16 +84,16 @@
     def decide(self, now: float, prompt: Prompt, holders: Sequence[int]) -> int | float | None:
         """Return an engine's number (int), when to ask again (float), or None."""
 
-    def began(self, now: float, prompt: Prompt) -> None:
+    def request_sent(self, now: float, prompt: Prompt) -> None:
         """Note that a prompt is sent."""
 
-    def first(self, now: float, prompt: Prompt) -> None:
+    def first_token_received(self, now: float, prompt: Prompt) -> None:
         """Note a first token."""
 
-    def ended(self, now: float, prompt: Prompt) -> None:
+    def request_ended(self, now: float, prompt: Prompt) -> None:
         """Note the end of a stream."""
 
-    def tick(self, now: float) -> None:
+    def publish_load(self, now: float) -> None:
         """Tell other hosts what this one has on engines."""
 
 
@@ -108,24 +108,24 @@
 
     def begin_step(self) -> tuple[float, list[Prompt]] | None:
         """Return how long the next step takes and whose prompts it finishes, None when idle."""
-        left, done = self.shape.piece, []
-        self.waiting.sort(key=lambda prompt: (prompt.route.rank, prompt.sent))
-        while left and self.waiting and len(self.running) + len(done) < self.shape.places:
+        left, done = self.shape.chunk_tokens, []
+        self.waiting.sort(key=lambda prompt: (prompt.route.rank, prompt.sent_at))
+        while left and self.waiting and len(self.running) + len(done) < self.shape.slots:
             prompt = self.waiting[0]
-            amount = min(left, prompt.unread)
-            prompt.unread -= amount
+            amount = min(left, prompt.uncomputed_tokens)
+            prompt.uncomputed_tokens -= amount
             left -= amount
-            if prompt.unread:
+            if prompt.uncomputed_tokens:
                 break
             done.append(self.waiting.pop(0))
-        if left == self.shape.piece and not self.running and not done:
+        if left == self.shape.chunk_tokens and not self.running and not done:
             return None
-        reading = (self.shape.piece - left) * self.shape.per_token
-        return self.shape.step + reading, done
+        prefill = (self.shape.chunk_tokens - left) * self.shape.seconds_per_token
+        return self.shape.step_seconds + prefill, done
 
 
 @dataclass(frozen=True)
-class Played:
+class SimulationResult:
     """What became of a load: worth earned over worth asked for, and shares of the requests."""
 
     worth: float
@@ -140,9 +140,9 @@
     holders: Sequence[Sequence[int]]
     seconds: float = 8.0
     hosts: int = 6
-    pause: float = 0.15
-    patience: float = 2.0
-    tick: float = 0.15
+    max_pause: float = 0.15
+    max_wait: float = 2.0
+    publish_interval: float = 0.15
 
 
 def make_prompts(load: Load, rng: random.Random) -> list[Prompt]:
@@ -151,23 +151,23 @@
     for route in load.routes:
         at = rng.expovariate(route.rate)
         while at < load.seconds:
-            size = draw_size(rng, route.prompt, route.spread, route.most)
-            tokens = int(size + route.shared * (1 - KEPT_SHARE))
+            size = draw_size(rng, route.prompt_tokens, route.spread, route.max_tokens)
+            tokens = int(size + route.shared_tokens * (1 - CACHED_SHARE))
             events = max(1, round(draw_size(rng, route.events, 0.7, 3.4 * route.events)))
-            model = rng.choices(range(len(route.models)), route.models)[0]
+            model = rng.choices(range(len(route.model_weights)), route.model_weights)[0]
             host = rng.randrange(load.hosts)
             found.append(Prompt(next(numbers), route, at, host, model, tokens, events))
             at += rng.expovariate(route.rate)
-    return sorted(found, key=lambda prompt: prompt.came)
+    return sorted(found, key=lambda prompt: prompt.arrived_at)
 
 
-def draw_size(rng: random.Random, mean: float, spread: float, most: float) -> float:
+def draw_size(rng: random.Random, mean: float, spread: float, max_size: float) -> float:
     """Draw a size whose logarithm is normal; ``spread`` is its deviation over its mean."""
     sigma = math.sqrt(math.log(1 + spread * spread))
-    return min(most, rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma))
+    return min(max_size, rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma))
 
 
-class Play:
+class Simulation:
     """One play: a queue of what happens next, in virtual time."""
 
     def __init__(self, load: Load, shape: EngineShape, policy: Policy, engines: int):
@@ -180,32 +180,32 @@
     def run(self, prompts: Sequence[Prompt]) -> None:
         """Play all requests."""
         for prompt in prompts:
-            self._at(prompt.came, self._come, prompt)
-        self._at(self._load.tick, self._tick, None)
-        end = self._load.seconds + AFTER_SECONDS
+            self._schedule(prompt.arrived_at, self._on_prompt, prompt)
+        self._schedule(self._load.publish_interval, self._tick, None)
+        end = self._load.seconds + TAIL_SECONDS
         while self._events:
             now, _, act, what = heapq.heappop(self._events)
             if now > end:
                 return
             act(now, what)
 
-    def _at(self, when: float, act: Callable[..., None], what: Any) -> None:
+    def _schedule(self, when: float, act: Callable[..., None], what: Any) -> None:
         heapq.heappush(self._events, (when, next(self._numbers), act, what))
 
     def _tick(self, now: float, _: None) -> None:
-        self._policy.tick(now)
-        self._at(now + self._load.tick, self._tick, None)
+        self._policy.publish_load(now)
+        self._schedule(now + self._load.publish_interval, self._tick, None)
 
-    def _come(self, now: float, prompt: Prompt) -> None:
+    def _on_prompt(self, now: float, prompt: Prompt) -> None:
         found = self._policy.decide(now, prompt, self._load.holders[prompt.model])
         if found is None:
             prompt.denied = True
         elif isinstance(found, float):
-            self._at(found, self._come, prompt)
+            self._schedule(found, self._on_prompt, prompt)
         else:
-            prompt.engine, prompt.sent, prompt.unread = found, now, prompt.tokens
-            self._policy.began(now, prompt)
-            self._at(now + WAY_SECONDS, self._arrive, prompt)
+            prompt.engine, prompt.sent_at, prompt.uncomputed_tokens = found, now, prompt.tokens
+            self._policy.request_sent(now, prompt)
+            self._schedule(now + TRANSIT_SECONDS, self._arrive, prompt)
 
     def _arrive(self, now: float, prompt: Prompt) -> None:
         engine = self._engines[prompt.engine]
@@ -220,58 +220,60 @@
             engine.active = False
             return
         seconds, done = found
-        self._at(now + seconds, self._end_step, (engine, done))
+        self._schedule(now + seconds, self._end_step, (engine, done))
 
     def _end_step(self, now: float, what: tuple[Engine, list[Prompt]]) -> None:
         engine, done = what
         going = []
         for prompt in engine.running + done:
-            prompt.made += 1
-            last = prompt.made >= prompt.output * engine.shape.event_tokens
-            if prompt.first is None:
-                prompt.first = prompt.last = now
-                self._policy.first(now + WAY_SECONDS, prompt)
-            elif last or prompt.made % engine.shape.event_tokens == 0:
-                prompt.pause = max(prompt.pause, now - prompt.last)
-                prompt.last = now
+            prompt.generated_tokens += 1
+            last = prompt.generated_tokens >= prompt.output_events * engine.shape.event_tokens
+            if prompt.first_token_at is None:
+                prompt.first_token_at = prompt.last_event_at = now
+                self._policy.first_token_received(now + TRANSIT_SECONDS, prompt)
+            elif last or prompt.generated_tokens % engine.shape.event_tokens == 0:
+                prompt.longest_pause = max(prompt.longest_pause, now - prompt.last_event_at)
+                prompt.last_event_at = now
             if last:
-                self._policy.ended(now + WAY_SECONDS, prompt)
+                self._policy.request_ended(now + TRANSIT_SECONDS, prompt)
             else:
                 going.append(prompt)
         engine.running = going
         self._step(now, engine)
 
 
-def judge(prompts: Sequence[Prompt], load: Load) -> Played:
+def summarise(prompts: Sequence[Prompt], load: Load) -> SimulationResult:
     """Return what became of the requests; a late answer is worth half."""
     counts: Counter[str] = Counter()
     worth = 0.0
     for prompt in prompts:
-        outcome = judge_one(prompt, load)
+        outcome = classify(prompt, load)
         counts[outcome] += 1
         worth += prompt.route.worth * {"in time": 1.0, "first": 0.5, "pause": 0.5}.get(outcome, 0)
     total = sum(prompt.route.worth for prompt in prompts)
-    return Played(worth / total, {key: n / len(prompts) for key, n in counts.items()})
+    return SimulationResult(worth / total, {key: n / len(prompts) for key, n in counts.items()})
 
 
-def judge_one(prompt: Prompt, load: Load) -> str:
+def classify(prompt: Prompt, load: Load) -> str:
     """Return what became of one request."""
     if prompt.denied:
         return "denied"
-    waited = math.inf if prompt.first is None else prompt.first - prompt.came
-    if waited > load.patience:
+    waited = (
+        math.inf if prompt.first_token_at is None else prompt.first_token_at - prompt.arrived_at
+    )
+    if waited > load.max_wait:
         return "left"
-    if waited > prompt.route.target:
+    if waited > prompt.route.target_seconds:
         return "first"
-    return "pause" if prompt.pause > load.pause else "in time"
+    return "pause" if prompt.longest_pause > load.max_pause else "in time"
 
 
-def play(
+def simulate(
     load: Load, shape: EngineShape, policy: Callable[[random.Random], Policy], seed: int
-) -> Played:
+) -> SimulationResult:
     """Play a load with a policy and judge it."""
     rng = random.Random(seed)
     prompts = make_prompts(load, rng)
     engines = 1 + max(max(row) for row in load.holders if row)
-    Play(load, shape, policy(rng), engines).run(prompts)
-    return judge(prompts, load)
+    Simulation(load, shape, policy(rng), engines).run(prompts)
+    return summarise(prompts, load)
--- a/extras/fleet_processes.py
+++ b/extras/fleet_processes.py
@@ -16,7 +16,7 @@
 CLUSTER_KEY = "sample-cluster-key-0001"
 OPERATOR_TOKEN = "sample-operator-token"
 READY_PREFIX = "ready: "
-START_SECONDS = 60.0
+START_TIMEOUT_SECONDS = 60.0
 
 
 class Process:
@@ -137,21 +137,23 @@
     def publish(self, document: dict) -> dict:
         """Publish a manifest through one host."""
         host = next(iter(self.hosts.values()))
-        return call(f"{host.url}/admin/manifest", OPERATOR_TOKEN, json.dumps(document).encode())
+        return call_admin(
+            f"{host.url}/admin/manifest", OPERATOR_TOKEN, json.dumps(document).encode()
+        )
 
-    def wait_true(self, generation: int) -> None:
+    def wait_converged(self, generation: int) -> None:
         """Wait until a manifest is in force and true on every host."""
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         waiting = list(self.hosts.values())
         while waiting and time.monotonic() < deadline:
-            waiting = [host for host in waiting if not self._is_true(host, generation)]
+            waiting = [host for host in waiting if not self._has_converged(host, generation)]
             time.sleep(0.1)
         if waiting:
-            raise RuntimeError(f"not true after {START_SECONDS} s on {len(waiting)} hosts")
+            raise RuntimeError(f"not true after {START_TIMEOUT_SECONDS} s on {len(waiting)} hosts")
 
-    def _is_true(self, host: Process, generation: int) -> bool:
+    def _has_converged(self, host: Process, generation: int) -> bool:
         try:
-            status = call(f"{host.url}/admin/status", OPERATOR_TOKEN)
+            status = call_admin(f"{host.url}/admin/status", OPERATOR_TOKEN)
         except OSError:
             return False
         everywhere = len(status["hosts"]) >= len(self.hosts)
@@ -167,7 +169,7 @@
                 process.stop()
 
 
-def call(url: str, token: str, body: bytes | None = None) -> dict:
+def call_admin(url: str, token: str, body: bytes | None = None) -> dict:
     """Call a host as an operator."""
     request = urllib.request.Request(url, body, {"authorization": f"Bearer {token}"})
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
--- a/extras/mutants.py
+++ b/extras/mutants.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-SECONDS = 60
+TIMEOUT_SECONDS = 60
 
 
 @dataclass(frozen=True)
@@ -405,7 +405,7 @@
         path.write_text(text.replace(mutant.old, mutant.new))
         command = [sys.executable, "-m", "tests", *mutant.tests.split()]
         try:
-            done = subprocess.run(command, cwd=copy, capture_output=True, timeout=SECONDS)
+            done = subprocess.run(command, cwd=copy, capture_output=True, timeout=TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             return "caught (hung)"
         return "caught" if done.returncode else "NOT CAUGHT"
--- a/extras/samples.py
+++ b/extras/samples.py
@@ -5,7 +5,7 @@
 
 GIB = 2**30
 TOKEN = "sample-caller-token"
-LIVE_TOKEN = "sample-live-token"
+INTERACTIVE_TOKEN = "sample-live-token"
 
 
 @dataclass(frozen=True)
@@ -45,23 +45,23 @@
         {
             "id": name,
             "url": url,
-            "domain": shape.domains[place % len(shape.domains)],
+            "domain": shape.domains[index % len(shape.domains)],
             "kind": "engine",
-            "fencing": place % 2 == 0,
+            "fencing": index % 2 == 0,
             "accelerators": [
                 {"id": f"a{number}", "bytes": ACCELERATOR_BYTES} for number in range(ACCELERATORS)
             ],
         }
-        for place, (name, url) in enumerate(engines)
+        for index, (name, url) in enumerate(engines)
     ]
     endpoints += [
         {
             "id": name,
             "url": url,
-            "domain": shape.domains[place % len(shape.domains)],
+            "domain": shape.domains[index % len(shape.domains)],
             "kind": "service",
         }
-        for place, (name, url) in enumerate(services)
+        for index, (name, url) in enumerate(services)
     ]
     target = {"first_token_ms": shape.first_token_ms, "between_tokens_ms": 76}
     return {
@@ -83,7 +83,7 @@
             },
             {
                 "id": "live",
-                "token_sha256": digest_token(LIVE_TOKEN),
+                "token_sha256": digest_token(INTERACTIVE_TOKEN),
                 "requests_per_second": 5000,
                 "streams": 2000,
                 "priority": 8,
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -13,25 +13,25 @@
 import click
 
 from extras.soak.callers import Caller
-from extras.soak.checks import Record, Words, find_broken
-from extras.soak.plan import LONGEST_SECONDS, Plan, draw
+from extras.soak.checks import Record, EndpointRecord, find_violations
+from extras.soak.plan import MAX_FAULT_SECONDS, Plan, draw_plan
 from extras.soak.proxy import Proxy
-from extras.soak.world import MODELS_FIT, World
+from extras.soak.deployment import MODELS_FIT, SoakDeployment
 from tests.standins.runner import EVENTS, RunnerStandin
 
-CALLERS = 8
+CALLER_COUNT = 8
 # Callers that send the same request, which ends endpoints, beside what they send otherwise.
-POISONERS = 2
+POISON_CALLER_COUNT = 2
 # Seconds after the last fault in which hosts may come back before they are probed.
 RECOVERY_SECONDS = 7.0
-PROBES = 40
-START_SECONDS = 60.0
+PROBE_COUNT = 40
+START_TIMEOUT_SECONDS = 60.0
 
 
-async def wait_ready(world: World) -> None:
+async def wait_ready(deployment: SoakDeployment) -> None:
     """Wait until every host says that it is ready."""
-    async with aiohttp.ClientSession() as session, asyncio.timeout(START_SECONDS):
-        for host in world.hosts:
+    async with aiohttp.ClientSession() as session, asyncio.timeout(START_TIMEOUT_SECONDS):
+        for host in deployment.hosts:
             while True:
                 try:
                     async with session.get(f"http://{host.address('ready')}/v1/ready") as resp:
@@ -43,81 +43,93 @@
                 await asyncio.sleep(0.05)
 
 
-async def strike_all(world: World, plan: Plan, began: float) -> None:
+async def inject_faults(deployment: SoakDeployment, plan: Plan, started_at: float) -> None:
     """Begin each fault at its time; they may overlap. Return when all have ended."""
     tasks = []
     for fault in plan.faults:
-        await asyncio.sleep(max(0.0, fault.at - (time.monotonic() - began)))
-        tasks.append(asyncio.ensure_future(world.strike(fault)))
+        await asyncio.sleep(max(0.0, fault.at - (time.monotonic() - started_at)))
+        tasks.append(asyncio.ensure_future(deployment.inject(fault)))
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
         if isinstance(outcome, Exception):
             raise outcome
 
 
-async def play(plan: Plan, hosts: int, folder: Path, beside: Path | None = None) -> list[str]:
+async def run_plan(plan: Plan, hosts: int, folder: Path, beside: Path | None = None) -> list[str]:
     """Play one plan and return what was promised and not kept."""
-    record, world = Record(), World(hosts, folder, beside)
-    await world.start()
+    record, deployment = Record(), SoakDeployment(hosts, folder, beside)
+    await deployment.start()
     try:
-        await wait_ready(world)
-        began = time.monotonic()
-        callers = [Caller(n, world, record, began, plan.seed) for n in range(CALLERS)]
+        await wait_ready(deployment)
+        started_at = time.monotonic()
+        callers = [
+            Caller(n, deployment, record, started_at, plan.seed) for n in range(CALLER_COUNT)
+        ]
         work = [caller.run(plan.seconds) for caller in callers]
         if plan.poisoned:
-            work += [caller.run_poison(plan.seconds) for caller in callers[:POISONERS]]
-        if plan.needy:
-            seconds = plan.seconds - LONGEST_SECONDS
-            work += [world.limit(seconds), world.refuse(seconds), world.leave_by_word()]
-        await asyncio.gather(strike_all(world, plan, began), *work)
+            work += [caller.run_poison(plan.seconds) for caller in callers[:POISON_CALLER_COUNT]]
+        if plan.overloaded:
+            seconds = plan.seconds - MAX_FAULT_SECONDS
+            work += [
+                deployment.announce_limits(seconds),
+                deployment.refuse_requests(seconds),
+                deployment.announce_draining(),
+            ]
+        await asyncio.gather(inject_faults(deployment, plan, started_at), *work)
         await asyncio.sleep(RECOVERY_SECONDS)
-        await probe(world, record, began, plan.seed)
-        collect(world, record, began)
-        return list(find_broken(record, plan.planned, EVENTS, MODELS_FIT))
+        await probe(deployment, record, started_at, plan.seed)
+        collect_observations(deployment, record, started_at)
+        return list(find_violations(record, plan.maintenance_only, EVENTS, MODELS_FIT))
     finally:
-        await world.stop()
+        await deployment.stop()
 
 
-async def probe(world: World, record: Record, began: float, seed: int) -> None:
+async def probe(deployment: SoakDeployment, record: Record, started_at: float, seed: int) -> None:
     """Send requests when all is well again."""
-    caller = Caller(CALLERS, world, record, began, seed)
+    caller = Caller(CALLER_COUNT, deployment, record, started_at, seed)
     async with aiohttp.ClientSession(auto_decompress=False) as session:
-        while len(record.probes) < PROBES:
+        while len(record.probes) < PROBE_COUNT:
             before = len(record.probes)
             await caller.send(session, record.probes)
             if len(record.probes) == before:
                 return
 
 
-def collect(world: World, record: Record, began: float) -> None:
+def collect_observations(deployment: SoakDeployment, record: Record, started_at: float) -> None:
     """Take down what the endpoints saw."""
-    record.ends = world.ends
-    record.limited = world.limited
-    links = world.links | world.past_links
-    for runner in (*world.engines, *world.pages, *world.gone):
+    record.crash_times = deployment.crash_times
+    record.limited_endpoints = deployment.limited_endpoints
+    links = deployment.links | deployment.closed_links
+    for runner in (*deployment.engines, *deployment.pages, *deployment.stopped_runners):
         record.ran += runner.ran
         record.orders[runner.name] = runner.orders
-        record.held[runner.name] = runner.most_held
-        leaves_at = world.leaves_at.get(runner.name, math.inf)
-        record.words.append(read_words(runner, links[runner.name], leaves_at, began))
+        record.max_held[runner.name] = runner.most_held
+        draining_from = deployment.draining_from.get(runner.name, math.inf)
+        record.endpoint_records.append(
+            read_endpoint_record(runner, links[runner.name], draining_from, started_at)
+        )
 
 
-def read_words(runner: RunnerStandin, link: Proxy, leaves_at: float, began: float) -> Words:
+def read_endpoint_record(
+    runner: RunnerStandin, link: Proxy, draining_from: float, started_at: float
+) -> EndpointRecord:
     """Return what an endpoint said and got, in seconds of the run.
 
     A wish for rest that was lost on its way is left out: no host knows of it.
     """
-    heads = [(at - began, name) for at, name in runner.heads]
-    rests = [
-        (at - began, name, seconds)
+    requests = [(at - started_at, name) for at, name in runner.heads]
+    backoffs = [
+        (at - started_at, name, seconds)
         for at, name, seconds, port in runner.rests
         if not link.lost(port, at)
     ]
-    return Words(heads, rests, leaves_at - began)
+    return EndpointRecord(requests, backoffs, draining_from - started_at)
 
 
 def describe(plan: Plan) -> str:
     """Return a plan as lines of text."""
-    rows = [f"{f.at:6.2f} s for {f.seconds:.2f} s  {f.kind.name} {f.target}" for f in plan.faults]
+    rows = [
+        f"{f.at:6.2f} s for {f.seconds:.2f} s  {f.kind.name} {f.target_index}" for f in plan.faults
+    ]
     return "\n".join([f"seed {plan.seed}, {plan.seconds} s", *rows]) + "\n"
 
 
@@ -140,10 +152,10 @@
     logging.disable(logging.CRITICAL)
     failures = 0
     for seed in range(first, first + seeds):
-        plan = draw(seed, seconds)
+        plan = draw_plan(seed, seconds)
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         try:
-            broken = asyncio.run(play(plan, hosts, folder, beside))
+            broken = asyncio.run(run_plan(plan, hosts, folder, beside))
         except Exception as exc:
             # A run that could not be played proves nothing: it counts as failed.
             broken = [f"not played: {exc!r}"]
--- a/extras/soak/callers.py
+++ b/extras/soak/callers.py
@@ -8,33 +8,35 @@
 import aiohttp
 
 from extras.soak.checks import NOT_RUN, Attempt, Record
-from extras.soak.world import POISON, World
+from extras.soak.deployment import POISON_BODY, SoakDeployment
 
 # Seconds for which callers keep an answer to where to connect; some keep it three times as long.
-KEEP_SECONDS = 1.0
-ASK_SECONDS = 1.0
-PATIENCE_SECONDS = 7.0
-PAUSE_SECONDS = 0.05
+ADDRESS_TTL_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 7.0
+MEAN_PAUSE_SECONDS = 0.05
 # Mean seconds between two attempts of a caller whose request ends endpoints, and its model.
-POISON_PAUSE_SECONDS = 0.3
+MEAN_POISON_PAUSE_SECONDS = 0.3
 POISON_MODEL = "m0"
-KINDS = {"recap": True, "once": False, "bind": False, "fetch": True}
-MODELLED = frozenset({"recap", "once"})
-UNREACHED = (aiohttp.ClientConnectorError,)
+REPEATABLE_ROUTES = {"recap": True, "once": False, "bind": False, "fetch": True}
+MODEL_ROUTES = frozenset({"recap", "once"})
+CONNECT_ERRORS = (aiohttp.ClientConnectorError,)
 
 
 class Caller:
     """One caller; ``began`` is the run's start in monotonic seconds."""
 
-    def __init__(self, number: int, world: World, record: Record, began: float, seed: int):
-        self._world = world
+    def __init__(
+        self, number: int, deployment: SoakDeployment, record: Record, started_at: float, seed: int
+    ):
+        self._deployment = deployment
         self._record = record
-        self._began = began
+        self._started_at = started_at
         self._rng = random.Random(seed * 1000 + number)
         self._ids = (f"{number:02}-{count:05}" for count in itertools.count())
-        self._keep = KEEP_SECONDS * (3 if number % 4 == 0 else 1)
+        self._address_ttl = ADDRESS_TTL_SECONDS * (3 if number % 4 == 0 else 1)
         self._addresses: list[str] = []
-        self._asked = float("-inf")
+        self._resolved_at = float("-inf")
 
     async def run(self, until: float) -> None:
         """Send requests until a moment of the run."""
@@ -42,94 +44,98 @@
         async with aiohttp.ClientSession(connector=connector, auto_decompress=False) as session:
             while self._now() < until:
                 await self.send(session, self._record.attempts)
-                await asyncio.sleep(PAUSE_SECONDS * self._rng.random() * 2)
+                await asyncio.sleep(MEAN_PAUSE_SECONDS * self._rng.random() * 2)
 
     async def run_poison(self, until: float) -> None:
         """Send the same request, which ends endpoints, again and again."""
         async with aiohttp.ClientSession(auto_decompress=False) as session:
             while self._now() < until:
-                await self._attempt(session, "recap", POISON)
-                await asyncio.sleep(POISON_PAUSE_SECONDS * self._rng.random() * 2)
+                await self._attempt(session, "recap", POISON_BODY)
+                await asyncio.sleep(MEAN_POISON_PAUSE_SECONDS * self._rng.random() * 2)
 
     def _now(self) -> float:
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
-    async def send(self, session: aiohttp.ClientSession, into: list[Attempt]) -> None:
+    async def send(self, session: aiohttp.ClientSession, attempts: list[Attempt]) -> None:
         """Send one request, and once more where callers may."""
-        route = self._rng.choice([*KINDS, *self._extra_routes()])
+        route = self._rng.choice([*REPEATABLE_ROUTES, *self._extra_routes()])
         for _ in range(2):
             attempt = await self._attempt(session, route)
             if attempt is None:
                 return
-            into.append(attempt)
-            repeatable = attempt.repeatable and not (attempt.status == 200 and attempt.whole)
+            attempts.append(attempt)
+            repeatable = attempt.repeatable and not (attempt.status == 200 and attempt.complete)
             if not repeatable and attempt.status not in NOT_RUN:
                 return
 
     def _extra_routes(self) -> list[str]:
-        return [route["name"] for route in self._world.routes[len(KINDS) :]]
+        return [route["name"] for route in self._deployment.routes[len(REPEATABLE_ROUTES) :]]
 
     async def _attempt(
         self, session: aiohttp.ClientSession, route: str, body: bytes = b""
     ) -> Attempt | None:
-        address = await self._choose(session)
+        address = await self._choose_address(session)
         if address is None:
             return None
-        attempt_id, began = next(self._ids), self._now()
+        attempt_id, started_at = next(self._ids), self._now()
         headers = {"host": "shop.example", "x-attempt-id": attempt_id, "x-deadline-ms": "6000"}
-        if route in MODELLED:
+        if route in MODEL_ROUTES:
             model = POISON_MODEL if body else self._rng.choice(["m0", "m1"])
             headers |= {"x-model": model, "x-token-counts": "900,20"}
             headers |= {"x-prompt-prefix": "aa:600,bb:300"}
         method = "GET" if route == "fetch" or route.startswith("extra") else "POST"
-        life = next((h.life for h in self._world.hosts if h.address("front") == address), "")
-        status, answer, whole, receipt = 0, b"", False, ""
+        incarnation = next(
+            (h.incarnation for h in self._deployment.hosts if h.address("front") == address), ""
+        )
+        status, answer, complete, signature = 0, b"", False, ""
         try:
             async with session.request(
                 method,
                 f"http://{address}/{route}/1",
                 headers=headers,
                 data=body,
-                timeout=aiohttp.ClientTimeout(total=PATIENCE_SECONDS, sock_connect=ASK_SECONDS),
+                timeout=aiohttp.ClientTimeout(
+                    total=REQUEST_TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS
+                ),
             ) as resp:
-                status, receipt = resp.status, resp.headers.get("x-response-signature", "")
+                status, signature = resp.status, resp.headers.get("x-response-signature", "")
                 async for part in resp.content.iter_any():
                     answer += part
-                whole = True
-        except UNREACHED:
-            self._forget(address)
+                complete = True
+        except CONNECT_ERRORS:
+            self._discard_address(address)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            self._forget(address)
+            self._discard_address(address)
         return Attempt(
             attempt_id,
             route,
-            KINDS.get(route, True),
-            life,
-            began,
+            REPEATABLE_ROUTES.get(route, True),
+            incarnation,
+            started_at,
             self._now(),
             status,
             answer,
-            whole,
-            receipt,
+            complete,
+            signature,
         )
 
-    def _forget(self, address: str) -> None:
+    def _discard_address(self, address: str) -> None:
         self._addresses = [row for row in self._addresses if row != address]
 
-    async def _choose(self, session: aiohttp.ClientSession) -> str | None:
-        if not self._addresses or self._now() - self._asked > self._keep:
-            await self._ask_where(session)
+    async def _choose_address(self, session: aiohttp.ClientSession) -> str | None:
+        if not self._addresses or self._now() - self._resolved_at > self._address_ttl:
+            await self._resolve(session)
         return self._rng.choice(self._addresses) if self._addresses else None
 
-    async def _ask_where(self, session: aiohttp.ClientSession) -> None:
-        for host in self._rng.sample(self._world.hosts, min(3, len(self._world.hosts))):
+    async def _resolve(self, session: aiohttp.ClientSession) -> None:
+        for host in self._rng.sample(self._deployment.hosts, min(3, len(self._deployment.hosts))):
             url = f"http://{host.address('directory')}/v1/resolve?name=shop.example&zone=north"
             try:
-                limit = aiohttp.ClientTimeout(total=ASK_SECONDS)
+                limit = aiohttp.ClientTimeout(total=CONNECT_TIMEOUT_SECONDS)
                 async with session.get(url, timeout=limit) as resp:
                     found = (await resp.json()).get("addresses")
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                 continue
             if found:
-                self._addresses, self._asked = found, self._now()
+                self._addresses, self._resolved_at = found, self._now()
                 return
--- a/extras/soak/checks.py
+++ b/extras/soak/checks.py
@@ -8,51 +8,51 @@
 # Statuses that promise that a request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
 # Share of requests that must be served again when all faults have ended.
-RECOVERED_SHARE = 0.9
+MIN_RECOVERED_SHARE = 0.9
 SUCCESS = 200
 # Ends of endpoints under one request after which all hosts know it, the seconds that this takes,
 # and the most ends from then on.
-KNOWN_ENDS = 3
-KNOWN_SECONDS = 3.0
-MOST_LATER_ENDS = 3
+CRASHES_BEFORE_BLOCK = 3
+BLOCK_DELAY_SECONDS = 3.0
+MAX_LATER_CRASHES = 3
 # Seconds after an endpoint first named a limit from which on requests count: hosts that were told
 # later are not held to it.
-LIMIT_TOLD_SECONDS = 0.5
+LIMIT_COUNTED_AFTER_SECONDS = 0.5
 # Seconds after that word from which on the limit binds, those over which requests are counted, and
 # what may come in them: so many times the limit, and so many requests beside.
-LIMIT_BINDS_SECONDS = 3.0
+LIMIT_ENFORCED_AFTER_SECONDS = 3.0
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_FACTOR = 1.5
-LIMIT_EXTRA = 5
+LIMIT_EXTRA_REQUESTS = 5
 # Seconds after an endpoint's word that it leaves in which a host may still send there.
-LEAVING_SECONDS = 2.0
+DRAINING_TOLERANCE_SECONDS = 2.0
 # Seconds after a refusal from which on the rest that it asks for binds, and the most requests from
 # that host in it.
-REST_BINDS_SECONDS = 0.5
-MOST_IN_REST = 2
+BACKOFF_ENFORCED_AFTER_SECONDS = 0.5
+MAX_REQUESTS_IN_BACKOFF = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class LimitedEndpoint:
     """An endpoint that named a limit, requests a second, and when requests came. All in seconds."""
 
     rate: float
-    named: float
-    ended: float
-    calls: list[float]
+    announced_at: float
+    ended_at: float
+    request_times: list[float]
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class EndpointRecord:
     """What an endpoint said, and the requests that reached it: times with the ids of attempts.
 
     ``leaves_at`` is when it began to say that it leaves, infinite where it does not. ``rests`` are
     its refusals, each with the seconds of rest that it asked for. All in seconds of the run.
     """
 
-    heads: list[tuple[float, str]]
-    rests: list[tuple[float, str, float]]
-    leaves_at: float = math.inf
+    requests: list[tuple[float, str]]
+    backoffs: list[tuple[float, str, float]]
+    draining_from: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,13 +66,13 @@
     id: str
     route: str
     repeatable: bool
-    life: str
-    began: float
-    ended: float
+    incarnation: str
+    started_at: float
+    ended_at: float
     status: int
     body: bytes
-    whole: bool
-    receipt: str
+    complete: bool
+    signature: str
 
 
 @dataclass
@@ -82,29 +82,29 @@
     attempts: list[Attempt] = field(default_factory=list)
     ran: list[str] = field(default_factory=list)
     orders: dict[str, list[Mapping]] = field(default_factory=dict)
-    held: dict[str, int] = field(default_factory=dict)
+    max_held: dict[str, int] = field(default_factory=dict)
     probes: list[Attempt] = field(default_factory=list)
-    ends: list[float] = field(default_factory=list)
-    limited: list[Limited] = field(default_factory=list)
-    words: list[Words] = field(default_factory=list)
+    crash_times: list[float] = field(default_factory=list)
+    limited_endpoints: list[LimitedEndpoint] = field(default_factory=list)
+    endpoint_records: list[EndpointRecord] = field(default_factory=list)
 
 
-def check_answers(record: Record, events: int) -> Iterable[str]:
+def check_answers(record: Record, event_count: int) -> Iterable[str]:
     """A caller got another's answer, a part of one that looks whole, or events out of order."""
     for attempt in record.attempts:
-        if attempt.status != 200 or not attempt.whole:
+        if attempt.status != 200 or not attempt.complete:
             continue
-        if not attempt.receipt:
+        if not attempt.signature:
             yield f"{attempt.id}: a success without the endpoint's receipt"
         if attempt.route in ("recap", "once"):
             ids = [int(row[4:]) for row in attempt.body.split(b"\n") if row.startswith(b"id: ")]
-            if ids != list(range(1, events + 1)):
+            if ids != list(range(1, event_count + 1)):
                 yield f"{attempt.id}: a stream that ended whole has the events {ids}"
         elif attempt.body != b"whole answer":
             yield f"{attempt.id}: {attempt.body!r} in place of the whole answer"
 
 
-def check_once(record: Record) -> Iterable[str]:
+def check_at_most_once(record: Record) -> Iterable[str]:
     """Something that must run at most once ran twice: two policies are bound."""
     counted = Counter(record.ran)
     for attempt in record.attempts:
@@ -120,7 +120,7 @@
             yield f"{attempt.id}: answered {attempt.status} and ran"
 
 
-def check_orders(record: Record, most: int) -> Iterable[str]:
+def check_orders(record: Record, max_models: int) -> Iterable[str]:
     """Two hosts ordered an engine under one term, terms went back, or it was overfilled."""
     for engine, rows in record.orders.items():
         holders: dict[int, str] = {}
@@ -132,102 +132,119 @@
             if term < newest:
                 yield f"{engine}: term {term} after {newest}"
             newest = max(newest, term)
-    for engine, count in record.held.items():
-        if count > most:
-            yield f"{engine}: holds {count} models, {most} fit"
+    for engine, count in record.max_held.items():
+        if count > max_models:
+            yield f"{engine}: holds {count} models, {max_models} fit"
 
 
 def check_config(record: Record) -> Iterable[str]:
     """A host served a new route and later didn't know it any more."""
     seen: dict[tuple[str, str], float] = {}
-    for attempt in sorted(record.attempts, key=lambda row: row.began):
-        place = attempt.life, attempt.route
+    for attempt in sorted(record.attempts, key=lambda row: row.started_at):
+        key = attempt.incarnation, attempt.route
         if attempt.status == 200:
-            seen.setdefault(place, attempt.ended)
-        elif attempt.status == 404 and seen.get(place, attempt.began) < attempt.began:
-            yield f"{attempt.id}: {attempt.life} no longer knows {attempt.route}"
+            seen.setdefault(key, attempt.ended_at)
+        elif attempt.status == 404 and seen.get(key, attempt.started_at) < attempt.started_at:
+            yield f"{attempt.id}: {attempt.incarnation} no longer knows {attempt.route}"
 
 
 def check_planned(record: Record) -> Iterable[str]:
     """A planned stop, reload or change cut off a request that was under way."""
     ran = set(record.ran)
     for attempt in record.attempts:
-        cut = attempt.status == 0 or (attempt.status == 200 and not attempt.whole)
+        cut = attempt.status == 0 or (attempt.status == 200 and not attempt.complete)
         if cut and attempt.id in ran:
             yield f"{attempt.id}: {attempt.route} was cut off by planned work"
 
 
 def check_recovery(record: Record) -> Iterable[str]:
     """All faults have ended, and callers are still not served."""
-    served = sum(1 for probe in record.probes if probe.status == 200 and probe.whole)
-    if served < RECOVERED_SHARE * len(record.probes):
+    served = sum(1 for probe in record.probes if probe.status == 200 and probe.complete)
+    if served < MIN_RECOVERED_SHARE * len(record.probes):
         statuses = Counter(probe.status for probe in record.probes)
         yield f"{served} of {len(record.probes)} probes served after the faults: {dict(statuses)}"
 
 
 def check_poison(record: Record) -> Iterable[str]:
     """A request under which three endpoints had ended went on to others: all streams break off."""
-    ends = sorted(record.ends)
-    known = [at for at in ends[KNOWN_ENDS:] if at > ends[KNOWN_ENDS - 1] + KNOWN_SECONDS]
-    if len(known) > MOST_LATER_ENDS:
-        yield f"{len(known)} of {len(ends)} endpoints ended {KNOWN_SECONDS} s after the third"
+    crash_times = sorted(record.crash_times)
+    later = [
+        at
+        for at in crash_times[CRASHES_BEFORE_BLOCK:]
+        if at > crash_times[CRASHES_BEFORE_BLOCK - 1] + BLOCK_DELAY_SECONDS
+    ]
+    if len(later) > MAX_LATER_CRASHES:
+        yield (
+            f"{len(later)} of {len(crash_times)} endpoints ended"
+            f" {BLOCK_DELAY_SECONDS} s after the third"
+        )
 
 
 def check_limits(record: Record) -> Iterable[str]:
     """An endpoint in need got more from all hosts together than it had said that it takes."""
-    for row in record.limited:
-        most = LIMIT_FACTOR * LIMIT_WINDOW_SECONDS * row.rate + LIMIT_EXTRA
-        calls = [at for at in row.calls if at >= row.named + LIMIT_TOLD_SECONDS]
-        for end in calls:
-            if not row.named + LIMIT_BINDS_SECONDS <= end <= row.ended:
+    for row in record.limited_endpoints:
+        allowed = LIMIT_FACTOR * LIMIT_WINDOW_SECONDS * row.rate + LIMIT_EXTRA_REQUESTS
+        times = [
+            at for at in row.request_times if at >= row.announced_at + LIMIT_COUNTED_AFTER_SECONDS
+        ]
+        for end in times:
+            if not row.announced_at + LIMIT_ENFORCED_AFTER_SECONDS <= end <= row.ended_at:
                 continue
-            count = sum(end - LIMIT_WINDOW_SECONDS < at <= end for at in calls)
-            if count > most:
+            count = sum(end - LIMIT_WINDOW_SECONDS < at <= end for at in times)
+            if count > allowed:
                 yield f"{count} requests in {LIMIT_WINDOW_SECONDS} s at a limit of {row.rate}"
                 break
 
 
-def check_leaving(record: Record) -> Iterable[str]:
+def check_draining(record: Record) -> Iterable[str]:
     """A host sent a request to an endpoint that had told it that it leaves."""
     attempts = {attempt.id: attempt for attempt in record.attempts}
-    for row in record.words:
-        told: dict[str, float] = {}
-        for _, name in row.heads:
+    for row in record.endpoint_records:
+        informed_at: dict[str, float] = {}
+        for _, name in row.requests:
             attempt = attempts.get(name)
             if attempt is None:
                 continue
-            last = told.get(attempt.life, math.inf)
-            if attempt.began > last + LEAVING_SECONDS:
-                yield f"{name}: {attempt.life} was told {attempt.began - last:.2f} s before"
-            if attempt.began >= row.leaves_at and attempt.status == SUCCESS:
-                told[attempt.life] = min(last, attempt.ended)
+            last = informed_at.get(attempt.incarnation, math.inf)
+            if attempt.started_at > last + DRAINING_TOLERANCE_SECONDS:
+                yield (
+                    f"{name}: {attempt.incarnation} was told"
+                    f" {attempt.started_at - last:.2f} s before"
+                )
+            if attempt.started_at >= row.draining_from and attempt.status == SUCCESS:
+                informed_at[attempt.incarnation] = min(last, attempt.ended_at)
 
 
-def check_rests(record: Record) -> Iterable[str]:
+def check_backoffs(record: Record) -> Iterable[str]:
     """A host went on sending to an endpoint that had asked it for a rest."""
-    lives = {attempt.id: attempt.life for attempt in record.attempts}
-    for row in record.words:
-        for at, name, seconds in row.rests:
-            life = lives.get(name)
-            since, until = at + REST_BINDS_SECONDS, at + seconds
-            ids = [other for came, other in row.heads if since < came < until]
-            count = sum(lives.get(other) == life for other in ids)
-            if life is not None and count > MOST_IN_REST:
-                yield f"{life} sent {count} requests in a rest of {seconds} s from {at:.2f} s on"
-
-
-def find_broken(record: Record, planned: bool, events: int, most: int) -> Sequence[str]:
+    incarnations = {attempt.id: attempt.incarnation for attempt in record.attempts}
+    for row in record.endpoint_records:
+        for at, name, seconds in row.backoffs:
+            incarnation = incarnations.get(name)
+            since, until = at + BACKOFF_ENFORCED_AFTER_SECONDS, at + seconds
+            ids = [other for received_at, other in row.requests if since < received_at < until]
+            count = sum(incarnations.get(other) == incarnation for other in ids)
+            if incarnation is not None and count > MAX_REQUESTS_IN_BACKOFF:
+                yield (
+                    f"{incarnation} sent {count} requests"
+                    f" in a rest of {seconds} s from {at:.2f} s on"
+                )
+
+
+def find_violations(
+    record: Record, planned: bool, event_count: int, max_models: int
+) -> Sequence[str]:
     """Return what was promised and not kept."""
     found = [
-        *check_answers(record, events),
-        *check_once(record),
+        *check_answers(record, event_count),
+        *check_at_most_once(record),
         *check_refusals(record),
-        *check_orders(record, most),
+        *check_orders(record, max_models),
         *check_config(record),
         *check_recovery(record),
         *check_poison(record),
         *check_limits(record),
-        *check_leaving(record),
-        *check_rests(record),
+        *check_draining(record),
+        *check_backoffs(record),
     ]
     return found + list(check_planned(record)) if planned else found
--- a/extras/soak/world.py
+++ b/extras/soak/deployment.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from extras.soak.checks import Limited
+from extras.soak.checks import LimitedEndpoint
 from extras.soak.plan import Fault
 from extras.soak.ports import free_port
 from extras.soak.proxy import Proxy
@@ -26,18 +26,18 @@
 EVENT_SECONDS = 0.03
 PAGE_SECONDS = 0.02
 # Seconds that an endpoint serves on after it said that it is leaving.
-LEAVING_SECONDS = 2.0
+DRAIN_SECONDS = 2.0
 STOP_SECONDS = 3
 # A body that ends each endpoint that begins to run its request, and the seconds until another
 # endpoint has taken its place.
-POISON = b"a request that no endpoint survives"
-BACK_SECONDS = 1.0
+POISON_BODY = b"a request that no endpoint survives"
+REPLACEMENT_SECONDS = 1.0
 # Requests a second that an engine and a plain service's endpoint in need say they take.
-ENGINE_LIMIT = 1.0
-PAGE_LIMIT = 2.0
+ENGINE_LIMIT_PER_SECOND = 1.0
+PAGE_LIMIT_PER_SECOND = 2.0
 # Seconds of rest that endpoints in need ask for, and between two refusals.
-REST = 1.5
-REFUSAL_GAP = 0.7
+BACKOFF_SECONDS = 1.5
+REFUSAL_INTERVAL_SECONDS = 0.7
 BOUNDS = {
     "drain_ms": 2000,
     "config_ms": 2000,
@@ -58,26 +58,28 @@
     def __init__(self, name: str, folder: Path, checkout: Path = ROOT):
         self.name = name
         self._checkout = checkout
-        self.ports = {door: free_port() for door in ("front", "ready", "control", "directory")}
+        self.ports = {
+            listener: free_port() for listener in ("front", "ready", "control", "directory")
+        }
         self._settings = folder / f"{name}.toml"
         self._log = folder / f"{name}.log"
         self._child: subprocess.Popen | None = None
         self.starts = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Name the process that runs now."""
         return f"{self.name}-{self.starts}"
 
-    def address(self, door: str) -> str:
+    def address(self, listener: str) -> str:
         """Return IP:PORT of one of the host's doors."""
-        return f"127.0.0.1:{self.ports[door]}"
+        return f"127.0.0.1:{self.ports[listener]}"
 
     def write_settings(self, store: str, seeds: list[str]) -> None:
         """Write the settings file that the process reads at each start."""
         rows = [f'node_name = "{self.name}"', 'ip = "127.0.0.1"', 'zone = "north"']
         rows += ["inner_ports = [1, 0]", f"seeds = {json.dumps(seeds)}", "[listen]"]
-        rows += [f'{door} = "{self.address(door)}"' for door in self.ports]
+        rows += [f'{listener} = "{self.address(listener)}"' for listener in self.ports]
         rows += ["[platform]", f'address = "{store}"', "[bounds]"]
         rows += [f"{name} = {value}" for name, value in BOUNDS.items()]
         self._settings.write_text("\n".join(rows) + "\n")
@@ -112,7 +114,7 @@
         self._child.wait()
 
 
-class World:
+class SoakDeployment:
     """All parts of a run. Hosts of odd number run from the checkout ``beside`` if it is given."""
 
     def __init__(self, hosts: int, folder: Path, beside: Path | None = None):
@@ -120,15 +122,15 @@
         self.hosts = [HostProcess(f"h{n}", folder, checkouts[n % 2]) for n in range(hosts)]
         self.engines: list[RunnerStandin] = []
         self.pages: list[RunnerStandin] = []
-        self.gone: list[RunnerStandin] = []
+        self.stopped_runners: list[RunnerStandin] = []
         self.links: dict[str, Proxy] = {}
-        self.past_links: dict[str, Proxy] = {}
+        self.closed_links: dict[str, Proxy] = {}
         self.routes = list(ROUTES)
         self.version = 1
-        self.ends: list[float] = []
-        self.limited: list[Limited] = []
-        self.leaves_at: dict[str, float] = {}
-        self._busy: set[str] = set()
+        self.crash_times: list[float] = []
+        self.limited_endpoints: list[LimitedEndpoint] = []
+        self.draining_from: dict[str, float] = {}
+        self._targets_in_use: set[str] = set()
         self._replacing: set[asyncio.Task] = set()
         self._numbers = iter(range(1, 10_000))
 
@@ -140,7 +142,7 @@
             await self._add_runner("engines", (f"m{number % 2}",))
         for _ in range(PAGES):
             await self._add_runner("pages", ())
-        self._configure()
+        self._write_config()
         seeds = [host.address("control") for host in self.hosts[:3]]
         for host in self.hosts:
             host.write_settings(self.store_link.address, seeds)
@@ -162,8 +164,8 @@
 
     async def _add_runner(self, service: str, models: tuple[str, ...]) -> None:
         runner = await RunnerStandin(f"{service}-{next(self._numbers)}", models).start()
-        runner.fatal = {POISON}
-        runner.on_end = lambda: self._note_end(runner)
+        runner.fatal = {POISON_BODY}
+        runner.on_end = lambda: self._on_crash(runner)
         runner.pace = EVENT_SECONDS if service == "engines" else PAGE_SECONDS
         link = await Proxy(runner.address).start()
         self.links[runner.name] = link
@@ -171,40 +173,42 @@
         runner.on_change = lambda: self._register(runner, service)
         runner.on_change()
 
-    async def leave_by_word(self) -> None:
+    async def announce_draining(self) -> None:
         """Let an engine and a plain service's endpoint say in answers alone that they leave."""
         for runner in (self.engines[1], self.pages[1]):
             runner.says = {"server-leaving": "1"}
-            self.leaves_at[runner.name] = time.monotonic()
+            self.draining_from[runner.name] = time.monotonic()
 
-    async def refuse(self, seconds: float) -> None:
+    async def refuse_requests(self, seconds: float) -> None:
         """Let an engine and a plain service's endpoint turn requests away and ask for a rest."""
         until = time.monotonic() + seconds
         rows = (self.engines[2], self.pages[2])
         while time.monotonic() < until:
             for runner in rows:
-                runner.rest = REST
+                runner.rest = BACKOFF_SECONDS
                 runner.script += ["refuse"]
-            await asyncio.sleep(REFUSAL_GAP)
+            await asyncio.sleep(REFUSAL_INTERVAL_SECONDS)
 
-    async def limit(self, seconds: float) -> None:
+    async def announce_limits(self, seconds: float) -> None:
         """Let an engine and a plain service's endpoint name a limit for some seconds."""
-        named = time.monotonic()
-        rows = [(self.engines[0], ENGINE_LIMIT), (self.pages[0], PAGE_LIMIT)]
+        announced_at = time.monotonic()
+        rows = [(self.engines[0], ENGINE_LIMIT_PER_SECOND), (self.pages[0], PAGE_LIMIT_PER_SECOND)]
         for runner, rate in rows:
             runner.says = {"server-limit": str(rate)}
         await asyncio.sleep(seconds)
         for runner, rate in rows:
             runner.says = {}
-            self.limited.append(Limited(rate, named, time.monotonic(), runner.calls))
+            self.limited_endpoints.append(
+                LimitedEndpoint(rate, announced_at, time.monotonic(), runner.calls)
+            )
 
-    def _note_end(self, runner: RunnerStandin) -> None:
+    def _on_crash(self, runner: RunnerStandin) -> None:
         """Note that a request has ended an endpoint, and let another one take its place."""
-        self.ends.append(time.monotonic())
+        self.crash_times.append(time.monotonic())
         if runner not in (*self.engines, *self.pages):
             # It was leaving, and has been replaced already.
             return
-        task = asyncio.ensure_future(self._crash(runner, BACK_SECONDS))
+        task = asyncio.ensure_future(self._crash(runner, REPLACEMENT_SECONDS))
         self._replacing.add(task)
         task.add_done_callback(self._replacing.discard)
 
@@ -212,34 +216,34 @@
         address = self.links[runner.name].address
         self.store.put("servers", runner.name, runner.entry(service, address=address, **more))
 
-    def _configure(self) -> None:
+    def _write_config(self) -> None:
         changed = CONFIG | {"version": self.version, "routes": self.routes}
         changed["services"] = [{"name": "engines", "engine": ENGINE}, {"name": "pages"}]
         self.store.put("op", "config", json.dumps(changed).encode())
 
     # Faults
 
-    async def strike(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """Carry out one fault to its end; what it hits is left to one fault at a time."""
-        name, pool = fault.kind.name, self._pool(fault.kind.on)
-        target = pool[fault.target % len(pool)]
-        mark = f"{fault.kind.on} {fault.target % len(pool)}"
-        if mark in self._busy:
+        name, pool = fault.kind.name, self._pool(fault.kind.target)
+        target = pool[fault.target_index % len(pool)]
+        target_id = f"{fault.kind.target} {fault.target_index % len(pool)}"
+        if target_id in self._targets_in_use:
             return
-        self._busy.add(mark)
+        self._targets_in_use.add(target_id)
         try:
             await getattr(self, f"_{name}")(target, fault.seconds)
         finally:
-            self._busy.discard(mark)
+            self._targets_in_use.discard(target_id)
 
-    def _pool(self, on: str) -> list:
+    def _pool(self, target: str) -> list:
         pools = {
             "host": self.hosts,
             "runner": [*self.engines, *self.pages],
             "link": list(self.links.values()),
             "store": [self.store],
         }
-        return pools[on]
+        return pools[target]
 
     async def _stop(self, host: HostProcess, seconds: float) -> None:
         host.signal(signal.SIGTERM)
@@ -265,7 +269,7 @@
         self.version += 3
         route = dict(ROUTES[-1], name=f"extra-{self.version}", prefix=f"/extra-{self.version}/")
         self.routes = [*self.routes, route]
-        self._configure()
+        self._write_config()
 
     async def _leave(self, runner: RunnerStandin, seconds: float) -> None:
         """Replace an endpoint: the new one first, then the old one says so, serves on, and ends."""
@@ -275,9 +279,9 @@
         (self.engines if engines else self.pages).remove(runner)
         runner.on_change = lambda: None
         self._register(runner, service, state="draining")
-        await asyncio.sleep(LEAVING_SECONDS * 2)
+        await asyncio.sleep(DRAIN_SECONDS * 2)
         self.store.remove("servers", runner.name)
-        await self._end(runner)
+        await self._stop_runner(runner)
 
     async def _crash(self, runner: RunnerStandin, seconds: float) -> None:
         """End an endpoint without a word; its entry goes later, and another comes empty."""
@@ -287,30 +291,30 @@
         engines = runner in self.engines
         (self.engines if engines else self.pages).remove(runner)
         runner.on_change = lambda: None
-        await self._end(runner)
+        await self._stop_runner(runner)
         await asyncio.sleep(seconds)
         self.store.remove("servers", runner.name)
         await self._add_runner("engines" if engines else "pages", ())
 
-    async def _end(self, runner: RunnerStandin) -> None:
-        self.gone.append(runner)
-        link = self.past_links[runner.name] = self.links.pop(runner.name)
+    async def _stop_runner(self, runner: RunnerStandin) -> None:
+        self.stopped_runners.append(runner)
+        link = self.closed_links[runner.name] = self.links.pop(runner.name)
         await link.stop()
         await runner.stop()
 
-    async def _harm(self, link: Proxy, mode: str, seconds: float) -> None:
+    async def _set_mode(self, link: Proxy, mode: str, seconds: float) -> None:
         link.mode = mode
         await asyncio.sleep(seconds)
         link.mode = "pass"
 
     async def _delay(self, link: Proxy, seconds: float) -> None:
-        await self._harm(link, "delay", seconds)
+        await self._set_mode(link, "delay", seconds)
 
     async def _silence(self, link: Proxy, seconds: float) -> None:
-        await self._harm(link, "silence", seconds)
+        await self._set_mode(link, "silence", seconds)
 
     async def _one_way(self, link: Proxy, seconds: float) -> None:
-        await self._harm(link, "one_way", seconds)
+        await self._set_mode(link, "one_way", seconds)
 
     async def _reset(self, link: Proxy, seconds: float) -> None:
         link.reset()
@@ -321,7 +325,7 @@
         store.faults["down"] = False
 
     async def _store_silent(self, store: TableStandin, seconds: float) -> None:
-        await self._harm(self.store_link, "silence", seconds)
+        await self._set_mode(self.store_link, "silence", seconds)
 
     async def _store_loses(self, store: TableStandin, seconds: float) -> None:
         store.faults["lose"] += 3
--- a/extras/soak/plan.py
+++ b/extras/soak/plan.py
@@ -5,18 +5,18 @@
 
 # Seconds from the start of traffic before the first fault, and from the last one's end to the end
 # of the run: hosts find each other, and come back, within this.
-LEAD_SECONDS = 2.0
+MARGIN_SECONDS = 2.0
 # Mean seconds between the beginnings of two faults; they last for up to three, so they overlap.
-MEAN_GAP_SECONDS = 1.2
-LONGEST_SECONDS = 3.0
-SHORTEST_SECONDS = 0.4
+MEAN_INTERVAL_SECONDS = 1.2
+MAX_FAULT_SECONDS = 3.0
+MIN_FAULT_SECONDS = 0.4
 # One seed in so many has planned work alone: no request may be lost around it.
 PLANNED_EVERY = 5
 # One seed in so many has a caller whose request ends each endpoint that begins it. It isn't drawn
 # with the faults, so that plans of older seeds stay as they were.
 POISON_EVERY = 4
 # One seed in so many has endpoints in need, which say so in their answers.
-NEEDY_EVERY = 3
+OVERLOADED_EVERY = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """One kind of fault: what it hits, whether it is planned work, and how often it is drawn."""
 
     name: str
-    on: str
+    target: str
     planned: bool = False
     weight: int = 1
 
@@ -59,7 +59,7 @@
     at: float
     seconds: float
     kind: Kind
-    target: int
+    target_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,31 +71,31 @@
     faults: tuple[Fault, ...]
 
     @property
-    def planned(self) -> bool:
+    def maintenance_only(self) -> bool:
         """Tell whether all that happens is planned work."""
         return self.seed % PLANNED_EVERY == 0
 
     @property
     def poisoned(self) -> bool:
         """Tell whether a caller repeats a request that ends endpoints."""
-        return not self.planned and self.seed % POISON_EVERY == POISON_EVERY - 1
+        return not self.maintenance_only and self.seed % POISON_EVERY == POISON_EVERY - 1
 
     @property
-    def needy(self) -> bool:
+    def overloaded(self) -> bool:
         """Tell whether endpoints say in their answers that they are in need."""
-        return self.seed % NEEDY_EVERY == 1
+        return self.seed % OVERLOADED_EVERY == 1
 
 
-def draw(seed: int, seconds: float) -> Plan:
+def draw_plan(seed: int, seconds: float) -> Plan:
     """Draw a run's plan; targets are taken modulo the number of what they hit."""
     rng = random.Random(seed)
     kinds = [kind for kind in KINDS if kind.planned or seed % PLANNED_EVERY]
     weights = [kind.weight for kind in kinds]
     faults = []
-    at = LEAD_SECONDS
-    while at < seconds - LONGEST_SECONDS:
-        lasts = rng.uniform(SHORTEST_SECONDS, LONGEST_SECONDS)
+    at = MARGIN_SECONDS
+    while at < seconds - MAX_FAULT_SECONDS:
+        lasts = rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS)
         kind = rng.choices(kinds, weights)[0]
         faults.append(Fault(at, lasts, kind, rng.randrange(1000)))
-        at += rng.expovariate(1 / MEAN_GAP_SECONDS)
+        at += rng.expovariate(1 / MEAN_INTERVAL_SECONDS)
     return Plan(seed, seconds, tuple(faults))
--- a/extras/soak/proxy.py
+++ b/extras/soak/proxy.py
@@ -8,7 +8,7 @@
 DELAY_SECONDS = 0.15
 READ_BYTES = 65536
 # Seconds that an answer may take from the target's write to here.
-TRIP_SECONDS = 0.1
+TRANSIT_SECONDS = 0.1
 # Closing with this option and unread bytes sends a reset in place of an end.
 RESET = struct.pack("ii", 1, 0)
 
@@ -26,7 +26,7 @@
     def __init__(self, target: str):
         ip, _, port = target.rpartition(":")
         self._target = ip, int(port)
-        self._open: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
         self._silent_since: dict[int, float] = {}
         self.mode = "pass"
@@ -37,7 +37,7 @@
         ``port`` is the one at this end of its connection, ``at`` a time of the loop.
         """
         since = self._silent_since.get(port)
-        return since is not None and at >= since - TRIP_SECONDS
+        return since is not None and at >= since - TRANSIT_SECONDS
 
     async def start(self) -> "Proxy":
         """Listen on a free port."""
@@ -54,7 +54,7 @@
 
     def reset(self) -> None:
         """Reset all connections that are open now."""
-        for writer in list(self._open):
+        for writer in list(self._writers):
             sock = writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -67,7 +67,7 @@
         try:
             there, back = await asyncio.open_connection(*self._target)
             ends.append(back)
-            self._open.update(ends)
+            self._writers.update(ends)
             port = back.get_extra_info("sockname")[1]
             await asyncio.gather(self._copy(reader, back), self._copy(there, writer, port))
         except OSError:
@@ -76,7 +76,7 @@
         finally:
             self._tasks.discard(task)
             for end in ends:
-                self._open.discard(end)
+                self._writers.discard(end)
                 end.transport.abort()
 
     async def _copy(
--- a/extras/write_docs.py
+++ b/extras/write_docs.py
@@ -6,7 +6,7 @@
 from peridotdock.config import ENV_PREFIX, load_schema
 from peridotdock.errors import ANSWERS
 
-OPERATORS = Path(__file__).resolve().parent.parent / "docs" / "operators"
+OPERATORS_DIR = Path(__file__).resolve().parent.parent / "docs" / "operators"
 
 
 def write_errors() -> str:
@@ -38,7 +38,7 @@
     """Write the pages, or with ``--check`` report those that differ."""
     stale = []
     for name, write in PAGES.items():
-        path = OPERATORS / name
+        path = OPERATORS_DIR / name
         if "--check" not in sys.argv:
             path.write_text(write())
         elif not path.exists() or path.read_text() != write():
--- a/tests/relay/test_pacing.py
+++ b/tests/relay/test_pacing.py
@@ -9,8 +9,8 @@
 
 from nose2.tools import params
 
-from extras.engine_model import EngineShape, Load, Route, play
-from extras.pacing_policies import Alone, Paced
+from extras.engine_model import EngineShape, Load, Route, simulate
+from extras.pacing_policies import LocalPolicy, PacedPolicy
 from peridotdock.decisions.choice import Candidate, RequestCost
 from peridotdock.decisions.pacing import (
     FULL_RECHECK_SECONDS,
@@ -44,14 +44,18 @@
 
 
 def mean_worth(policy, load, shape, seeds=(1, 2, 3)):
-    rows = [play(load, shape, lambda rng: policy(load, shape, rng), seed) for seed in seeds]
+    rows = [simulate(load, shape, lambda rng: policy(load, shape, rng), seed) for seed in seeds]
     return sum(row.worth for row in rows) / len(rows)
 
 
 def scale(load, shape, times):
     """A load and engines that are so many times faster, with callers as patient as before."""
     routes = tuple(replace(row, rate=row.rate * times) for row in load.routes)
-    faster = replace(shape, step=shape.step / times, per_token=shape.per_token / times)
+    faster = replace(
+        shape,
+        step_seconds=shape.step_seconds / times,
+        seconds_per_token=shape.seconds_per_token / times,
+    )
     return replace(load, routes=routes, seconds=load.seconds / max(1.0, times)), faster
 
 
@@ -64,7 +68,7 @@
         it free. It prefills all of them between two events of every stream that runs there.
         """
         load, shape = peak_load(times), EngineShape()
-        alone, paced = mean_worth(Alone, load, shape), mean_worth(Paced, load, shape)
+        alone, paced = mean_worth(LocalPolicy, load, shape), mean_worth(PacedPolicy, load, shape)
         self.assertGreater(paced, 0.97)
         self.assertGreater(paced, alone + gain)
 
@@ -73,17 +77,19 @@
         """The only engine with a model gets more than it can read: some are told to come back."""
         load = peak_load(times, ((0,), (1, 3), (4,), *HOLDERS[3:]))
         shape = EngineShape()
-        self.assertGreater(mean_worth(Paced, load, shape), mean_worth(Alone, load, shape) + 0.05)
+        self.assertGreater(
+            mean_worth(PacedPolicy, load, shape), mean_worth(LocalPolicy, load, shape) + 0.05
+        )
 
     @params((0.25, 64), (0.25, 24), (1.0, 24), (4.0, 24), (4.0, 64))
-    def test_engines_of_other_speeds_and_sizes(self, times, places):
-        load, shape = scale(peak_load(), EngineShape(places=places), times)
-        load = replace(load, pause=max(load.pause, 5 * shape.event))
-        alone, paced = mean_worth(Alone, load, shape), mean_worth(Paced, load, shape)
+    def test_engines_of_other_speeds_and_sizes(self, times, slots):
+        load, shape = scale(peak_load(), EngineShape(slots=slots), times)
+        load = replace(load, max_pause=max(load.max_pause, 5 * shape.event_seconds))
+        alone, paced = mean_worth(LocalPolicy, load, shape), mean_worth(PacedPolicy, load, shape)
         self.assertGreaterEqual(paced, alone - 0.01)
 
     def test_nothing_is_held_back_when_few_callers_come(self):
-        self.assertGreater(mean_worth(Paced, peak_load(0.3), EngineShape()), 0.995)
+        self.assertGreater(mean_worth(PacedPolicy, peak_load(0.3), EngineShape()), 0.995)
 
 
 LIMIT = PaceLimit(0.15, 0.1)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -8,7 +8,7 @@
 import urllib.error
 import urllib.request
 
-from extras.fleet_processes import OPERATOR_TOKEN, Deployment, call
+from extras.fleet_processes import OPERATOR_TOKEN, Deployment, call_admin
 from extras.samples import HANEUL, TOKEN
 
 WAIT_SECONDS = 60.0
@@ -45,10 +45,10 @@
         document = cls.deployment.manifest()
         document["models"] = [document["models"][0] | {"copies": 2}]
         document["adapters"] = []
-        cls.deployment.wait_true(cls.deployment.publish(document)["generation"])
+        cls.deployment.wait_converged(cls.deployment.publish(document)["generation"])
 
     def seen(self, host):
-        rows = call(f"{host.url}/admin/hosts", OPERATOR_TOKEN)["rows"]
+        rows = call_admin(f"{host.url}/admin/hosts", OPERATOR_TOKEN)["rows"]
         return {row["host"]: row["state"] for row in rows}
 
     def test_1_a_killed_host_is_missed_and_its_engines_get_another_controller(self):
@@ -62,7 +62,7 @@
         wait_until(lambda: self.seen(second).get("host-0") != "live", "the dead host missed")
 
         def controllers():
-            rows = call(f"{second.url}/admin/events", OPERATOR_TOKEN)["rows"]
+            rows = call_admin(f"{second.url}/admin/events", OPERATOR_TOKEN)["rows"]
             return {r["endpoint"] for r in rows if r["name"] == "controller_took_over"}
 
         wait_until(lambda: len(controllers()) == 2, "both engines taken over")
@@ -84,7 +84,7 @@
             engine.signal(signal.SIGCONT)
 
         def all_up():
-            rows = call(f"{host.url}/admin/endpoints", OPERATOR_TOKEN)["rows"]
+            rows = call_admin(f"{host.url}/admin/endpoints", OPERATOR_TOKEN)["rows"]
             return all(row["state"] == "up" for row in rows)
 
         wait_until(all_up, "the engine back")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,11 +16,11 @@
 
 from extras import fleet_processes
 from extras.samples import HANEUL
-from extras.soak.__main__ import play, read_words
-from extras.soak.checks import Attempt, Limited, Record, Words, find_broken
-from extras.soak.plan import LONGEST_SECONDS, PLANNED_EVERY, draw
+from extras.soak.__main__ import run_plan, read_endpoint_record
+from extras.soak.checks import Attempt, LimitedEndpoint, Record, EndpointRecord, find_violations
+from extras.soak.plan import MAX_FAULT_SECONDS, PLANNED_EVERY, draw_plan
 from extras.soak.proxy import Proxy
-from extras.soak.world import ROOT, World
+from extras.soak.deployment import ROOT, SoakDeployment
 from peridotdock.clients.endpoint import Call, HttpEndpoints
 from tests.standins.runner import RunnerStandin
 
@@ -40,8 +40,8 @@
     @params(
         ("all well", record(PAGE, BIND, RECAP, ran=["a", "b", "c"], orders=[ORDER]), False),
         ("a page cut short", record(replace(PAGE, body=b"whole")), True),
-        ("cut, and it shows", record(replace(PAGE, body=b"whole", whole=False)), False),
-        ("no receipt", record(replace(PAGE, receipt="")), True),
+        ("cut, and it shows", record(replace(PAGE, body=b"whole", complete=False)), False),
+        ("no receipt", record(replace(PAGE, signature="")), True),
         ("an event twice", record(replace(RECAP, body=STREAM + STREAM)), True),
         ("an event left out", record(replace(RECAP, body=STREAM[14:])), True),
         ("ran twice", record(BIND, ran=["b", "b"]), True),
@@ -53,62 +53,81 @@
         ("too many models", record(held=4), True),
         (
             "a route is forgotten",
-            record(PAGE, replace(PAGE, id="d", began=2.0, status=404)),
+            record(PAGE, replace(PAGE, id="d", started_at=2.0, status=404)),
             True,
         ),
         (
             "by another process",
-            record(PAGE, replace(PAGE, id="d", began=2.0, status=404, life="h0-2")),
+            record(PAGE, replace(PAGE, id="d", started_at=2.0, status=404, incarnation="h0-2")),
             False,
         ),
         (
             "a request that ends endpoints is known",
-            replace(record(), ends=[1, 2, 3, 6, 7, 8]),
+            replace(record(), crash_times=[1, 2, 3, 6, 7, 8]),
             False,
         ),
-        ("and goes on", replace(record(), ends=[1, 2, 3, 7, 8, 9, 10]), True),
+        ("and goes on", replace(record(), crash_times=[1, 2, 3, 7, 8, 9, 10]), True),
         (
             "an endpoint gets no more than its limit",
-            replace(record(), limited=[Limited(1.0, 0.0, 9.0, [4.0 + n / 9 for n in range(11)])]),
+            replace(
+                record(),
+                limited_endpoints=[
+                    LimitedEndpoint(1.0, 0.0, 9.0, [4.0 + n / 9 for n in range(11)])
+                ],
+            ),
             False,
         ),
         (
             "what came before any host was told does not count",
-            replace(record(), limited=[Limited(1.0, 0.0, 9.0, [0.4] * 9 + [3.2, 3.3, 3.4])]),
+            replace(
+                record(),
+                limited_endpoints=[LimitedEndpoint(1.0, 0.0, 9.0, [0.4] * 9 + [3.2, 3.3, 3.4])],
+            ),
             False,
         ),
         (
             "and gets more",
-            replace(record(), limited=[Limited(1.0, 0.0, 9.0, [4.0 + n / 9 for n in range(12)])]),
+            replace(
+                record(),
+                limited_endpoints=[
+                    LimitedEndpoint(1.0, 0.0, 9.0, [4.0 + n / 9 for n in range(12)])
+                ],
+            ),
             True,
         ),
         (
             "an endpoint that leaves gets nothing of who was told",
-            replace(record(PAGE), words=[Words([(1.0, "a"), (3.0, "z")], [], 0.5)]),
+            replace(
+                record(PAGE), endpoint_records=[EndpointRecord([(1.0, "a"), (3.0, "z")], [], 0.5)]
+            ),
             False,
         ),
         (
             "and gets more",
             replace(
-                record(PAGE, replace(PAGE, id="d", began=3.2)),
-                words=[Words([(1.0, "a"), (3.2, "d")], [], 0.5)],
+                record(PAGE, replace(PAGE, id="d", started_at=3.2)),
+                endpoint_records=[EndpointRecord([(1.0, "a"), (3.2, "d")], [], 0.5)],
             ),
             True,
         ),
         (
             "an endpoint gets its rest",
-            replace(record(PAGE), words=[Words([(1.0, "a")] * 3, [(1.0, "a", 3.0)])]),
+            replace(
+                record(PAGE), endpoint_records=[EndpointRecord([(1.0, "a")] * 3, [(1.0, "a", 3.0)])]
+            ),
             False,
         ),
         (
             "and does not",
-            replace(record(PAGE), words=[Words([(2.0, "a")] * 3, [(1.0, "a", 3.0)])]),
+            replace(
+                record(PAGE), endpoint_records=[EndpointRecord([(2.0, "a")] * 3, [(1.0, "a", 3.0)])]
+            ),
             True,
         ),
         ("no recovery", record(probes=[replace(PAGE, status=503)]), True),
     )
     def test_planted_faults_are_found(self, name, found, broken):
-        self.assertEqual(broken, bool(find_broken(found, False, EVENTS, 3)), name)
+        self.assertEqual(broken, bool(find_violations(found, False, EVENTS, 3)), name)
 
     @params(
         ("was under way", replace(PAGE, status=0), ["a"], True),
@@ -116,7 +135,7 @@
     )
     def test_planned_work_cuts_nothing_off(self, name, attempt, ran, broken):
         found = record(attempt, ran=ran)
-        self.assertEqual(broken, bool(find_broken(found, True, EVENTS, 3)), name)
+        self.assertEqual(broken, bool(find_violations(found, True, EVENTS, 3)), name)
 
 
 class BesideTest(unittest.TestCase):
@@ -126,7 +145,7 @@
     )
     def test_every_second_host_runs_from_the_other_checkout(self, name, beside, checkouts):
         with tempfile.TemporaryDirectory() as folder:
-            hosts = World(4, Path(folder), beside).hosts
+            hosts = SoakDeployment(4, Path(folder), beside).hosts
             for host, checkout in zip(hosts, checkouts, strict=True):
                 settings = str(Path(folder) / f"{host.name}.toml")
                 expected = {
@@ -157,7 +176,7 @@
                 self.assertEqual(str(checkout), options["env"]["PYTHONPATH"], what)
 
 
-class LostWordsTest(unittest.TestCase):
+class LostBackoffTest(unittest.TestCase):
     @params(("pass", 1), ("one_way", 0), ("delay", 1))
     def test_a_rest_counts_when_its_answer_was_passed_on(self, mode, count):
         async def play():
@@ -171,7 +190,7 @@
                 async with asyncio.timeout(0.5):
                     await endpoints.open(f"http://{link.address}", call)
             self.assertEqual(1, len(runner.rests))
-            self.assertEqual(count, len(read_words(runner, link, math.inf, 0.0).rests))
+            self.assertEqual(count, len(read_endpoint_record(runner, link, math.inf, 0.0).backoffs))
             await endpoints.close()
             await link.stop()
             await runner.stop()
@@ -182,11 +201,11 @@
 class PlanTest(unittest.TestCase):
     @params(1, 2, 3, 5, 10, 77)
     def test_a_seed_always_gives_the_same_plan(self, seed):
-        plan = draw(seed, 30.0)
-        self.assertEqual(plan, draw(seed, 30.0))
-        self.assertTrue(all(f.at + LONGEST_SECONDS <= plan.seconds for f in plan.faults))
+        plan = draw_plan(seed, 30.0)
+        self.assertEqual(plan, draw_plan(seed, 30.0))
+        self.assertTrue(all(f.at + MAX_FAULT_SECONDS <= plan.seconds for f in plan.faults))
         if seed % PLANNED_EVERY == 0:
-            self.assertTrue(plan.planned and all(f.kind.planned for f in plan.faults))
+            self.assertTrue(plan.maintenance_only and all(f.kind.planned for f in plan.faults))
 
 
 class RunTest(unittest.TestCase):
@@ -194,7 +213,7 @@
     def test_a_short_run_keeps_every_promise(self, seed):
         """Real processes are stopped, killed, paused and cut off; callers see no broken promise."""
         with tempfile.TemporaryDirectory() as folder:
-            self.assertEqual([], asyncio.run(play(draw(seed, 6.0), 3, Path(folder))))
+            self.assertEqual([], asyncio.run(run_plan(draw_plan(seed, 6.0), 3, Path(folder))))
 
     @params(
         # A request that many repeat was blocked with the one that ends endpoints: 6 of 40 refused.
@@ -209,4 +228,6 @@
     def test_a_seed_that_once_failed_keeps_every_promise(self, seed, seconds, hosts):
         """Each seed on which the soak has found a fault, as it was played then."""
         with tempfile.TemporaryDirectory() as folder:
-            self.assertEqual([], asyncio.run(play(draw(seed, seconds), hosts, Path(folder))))
+            self.assertEqual(
+                [], asyncio.run(run_plan(draw_plan(seed, seconds), hosts, Path(folder)))
+            )
