--- a/extras/__init__.py
+++ b/extras/__init__.py
@@ -1,1 +1,1 @@
-"""Tools beside the product: code generator, samples, demo, measurements."""
+"""Development tools: code generators, samples, demo, benchmarks, mutants and the soak test."""
--- a/extras/ablation.py
+++ b/extras/ablation.py
@@ -1,10 +1,10 @@
-"""Switch each mechanism off, one at a time, and see what it is worth on played days.
+"""Ablation study: disable one mechanism at a time and measure the effect on simulated days.
 
-Each mechanism is a patch on a scratch copy of the tree, so that no switch is left in the product.
-``--play`` is the command that plays one day in such a copy, with ``{day}`` and ``{seed}`` where
-they belong; it prints ``worth N``. One JSON line a mechanism tells the worth of each day, their
-mean, and what was lost against the tree as it is. A difference within what one change of course
-makes on a day says nothing: play several days and seeds.
+Each mechanism is disabled by a patch to a scratch copy of the tree, so the product needs no switch.
+``--play`` is the command that simulates one day in a copy; it contains ``{day}`` and ``{seed}``
+and prints ``worth N``. One JSON line for each mechanism holds the worth of each day, their mean and
+the loss against the unchanged tree. A difference within the variation of single days is not
+significant: use several days and seeds.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """A mechanism: where it stands, and what stands there without it."""
+    """A mechanism: the source text in a file of ``peridotdock``, and the text that disables it."""
 
     name: str
     file: str
@@ -163,13 +163,13 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Play the tree as it is and without each mechanism."""
+    """Simulate the days with the unchanged tree and without each mechanism."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--play", required=True, help="command that plays {day} with {seed}")
-    parser.add_argument("--days", required=True, help="days, with commas between")
-    parser.add_argument("--seeds", default="0", help="seeds, with commas between")
-    parser.add_argument("--jobs", type=int, default=2, help="days played at a time")
-    parser.add_argument("--only", default="", help="mechanisms whose names have this in them")
+    parser.add_argument("--play", required=True, help="command that simulates {day} with {seed}")
+    parser.add_argument("--days", required=True, help="days, separated by commas")
+    parser.add_argument("--seeds", default="0", help="seeds, separated by commas")
+    parser.add_argument("--jobs", type=int, default=2, help="number of days simulated in parallel")
+    parser.add_argument("--only", default="", help="only mechanisms whose names contain this")
     options = parser.parse_args(argv)
     days = [(day, seed) for day in options.days.split(",") for seed in options.seeds.split(",")]
     chosen = [row for row in MECHANISMS if options.only in row.name]
@@ -187,7 +187,7 @@
 
 
 def describe(plays) -> Iterator[dict]:
-    """Return one line for each mechanism, the tree as it is first."""
+    """Yield the figures of the unchanged tree, then those of each mechanism."""
     whole = 0.0
     for row, futures in plays:
         found = [future.result() for future in futures]
@@ -204,7 +204,10 @@
 
 
 def play(folder: Path, row: Mechanism | None, command: str, day: str, seed: str) -> float | None:
-    """Play one day in a copy of the tree without a mechanism; None where it gave no worth."""
+    """Simulate one day in a copy of the tree without a mechanism and return its worth.
+
+    Returns None if the command printed no worth.
+    """
     copy = Path(tempfile.mkdtemp(dir=folder)) / "tree"
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(copy)], check=True)
     if (ROOT / "target").exists():
@@ -227,11 +230,11 @@
 
 
 def apply(tree: Path, row: Mechanism) -> None:
-    """Take a mechanism out of a copy; one that is not there any more is an error."""
+    """Disable a mechanism in a copy of the tree; raise ValueError if its source text is missing."""
     path = tree / "peridotdock" / row.file
     text = path.read_text()
     if row.old not in text:
-        raise ValueError(f"{row.name}: {row.file} does not have {row.old!r}")
+        raise ValueError(f"{row.name}: {row.file} does not contain {row.old!r}")
     path.write_text(text.replace(row.old, row.new, 1))
 
 
--- a/extras/bench.py
+++ b/extras/bench.py
@@ -1,8 +1,9 @@
-"""``make bench``: target attainment per accelerator and moves, ours against naive and switched off.
+"""``make bench``: target attainment per accelerator, and loads and unloads, for several policies.
 
-Real host processes serve seeded, bursty callers from stand-in engines, in the shapes of the two
-first deployments. One JSON line a run, then a table. A miss is any request offered that did not
-get its first token within its target and then its whole answer, shed ones included.
+It compares the policy of the product with a naive one and with single decisions switched off. Host
+processes serve seeded, bursty callers from stand-in engines, in the shapes of the two first
+deployments. The output is one JSON line for each run, then a table. A request is a miss if it did
+not get its first token within its target and then its complete answer; shed requests are misses.
 """
 
 import argparse
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class LoadProfile:
-    """How callers of a shape behave: requests a second, and what they send."""
+    """The traffic of a shape: requests per second, prompt sizes, share of interactive requests."""
 
     base_rate: float
     burst_rate: float
@@ -50,16 +51,16 @@
 
 
 LOAD_PROFILES = {
-    # Bursts before and during evening sessions; long shared notes, short live prompts.
+    # Bursts before and during evening sessions; long shared notes, short interactive prompts.
     "kahini-ghar": LoadProfile(8.0, 26.0, 12, 6000, 400, 0.5),
-    # Renewal bursts; long inputs of their own, little shared.
+    # Bursts at renewals; long inputs with short shared prefixes.
     "haneul": LoadProfile(5.0, 15.0, 6, 1500, 4500, 0.2),
 }
 
 
 @dataclass(frozen=True)
 class Request:
-    """One request to come: when (seconds from the start), for what, and its prompt."""
+    """A request to send; ``send_at`` is in seconds after the start of the run."""
 
     send_at: float
     model: str
@@ -70,7 +71,7 @@
 
 @dataclass
 class Outcome:
-    """What became of the requests of a run."""
+    """The results of the requests of a run; the histograms are in milliseconds."""
 
     offered: int = 0
     within_target: int = 0
@@ -86,7 +87,7 @@
 
 
 def make_requests(shape: Shape, seconds: float, seed: int) -> list[Request]:
-    """Return the requests of a run: a third at the base rate, then a burst on a few models."""
+    """Return the requests of a run: a third of it at the base rate, then a burst on few models."""
     rng = random.Random(seed)
     load = LOAD_PROFILES[shape.name]
     names = [f"{shape.name}-model-{n}" for n in range(shape.models)]
@@ -107,7 +108,7 @@
 
 
 async def send(session: aiohttp.ClientSession, url: str, req: Request, out: Outcome) -> None:
-    """Send one request and judge its answer."""
+    """Send one request and add its result to ``out``."""
     headers = {"authorization": f"Bearer {INTERACTIVE_TOKEN if req.interactive else TOKEN}"}
     headers["x-priority"] = "8" if req.interactive else "5"
     body = {"model": req.model, "prompt": req.prompt, "stream": True, "max_tokens": req.tokens}
@@ -144,7 +145,7 @@
 
 
 async def drive(deployment: Deployment, requests: list[Request], inject_fault) -> Outcome:
-    """Send all requests at their times, spread over the hosts."""
+    """Send all requests at their times, to the hosts in turn, while a fault is injected."""
     out = Outcome()
     urls = [host.url for host in deployment.hosts.values()]
     timeout = aiohttp.ClientTimeout(total=60)
@@ -160,7 +161,7 @@
 
 
 async def scrape(deployment: Deployment) -> Counter:
-    """Sum the hosts' metrics that the measures are made of."""
+    """Return the sums of the metrics of all hosts, and the call counts of the platform."""
     total: Counter = Counter()
     async with aiohttp.ClientSession() as session:
         for host in deployment.hosts.values():
@@ -178,7 +179,7 @@
 
 
 async def freeze_engine(deployment: Deployment) -> None:
-    """Freeze one engine's process in the middle of the burst and let it go on later."""
+    """Stop the process of one engine during the burst, and continue it 5 s later."""
     process = deployment.engines["engine-1"]
     await asyncio.sleep(10)
     process.signal(signal.SIGSTOP)
@@ -187,7 +188,7 @@
 
 
 async def fail_platform(deployment: Deployment) -> None:
-    """Take the platform down over the shift of demand."""
+    """Take the platform down for 8 s, while the demand shifts to the burst."""
     async with aiohttp.ClientSession() as session:
         await asyncio.sleep(5)
         await session.post(f"{deployment.platform.url}/faults", json={"down": True})
@@ -199,7 +200,7 @@
 
 
 def run(shape: Shape, variant: str, seed: int, seconds: float, fault: str) -> dict:
-    """Run one variant and return its measures."""
+    """Run one variant in a new deployment and return its figures."""
     policy = "" if variant == "ours" else variant.removeprefix("no ").strip()
     options = [*HOST_OPTIONS, "--policy", policy] if policy else HOST_OPTIONS
     deployment = Deployment(
@@ -222,7 +223,10 @@
 async def measure(
     deployment: Deployment, shape: Shape, variant: str, seed: int, seconds: float, fault: str
 ) -> dict:
-    """Drive a started deployment. From here on the weight store gives one load a second."""
+    """Send the requests to a started deployment and return the figures.
+
+    The weight store serves one load per second from then on.
+    """
     async with aiohttp.ClientSession() as session:
         await session.post(f"{deployment.platform.url}/faults", json={"load_gap": 1.0})
     before = await scrape(deployment)
@@ -250,12 +254,12 @@
 
 
 def quantiles(histogram: HdrHistogram) -> list[int]:
-    """Return the 50th, 95th and 99th percentile."""
+    """Return the 50th, 95th and 99th percentile, rounded down to integers."""
     return [int(histogram.get_value_at_percentile(p)) for p in (50, 95, 99)]
 
 
 def summarise(rows: list[dict]) -> list[dict]:
-    """Return one row for each shape, fault and variant, with the spread over the seeds."""
+    """Return one row for each shape, fault and variant, with means and range over the seeds."""
     groups: dict[tuple, list[dict]] = {}
     for row in rows:
         groups.setdefault((row["shape"], row["fault"], row["variant"]), []).append(row)
@@ -281,13 +285,15 @@
 
 
 def main() -> int:
-    """Run the variants asked for, all in one call."""
+    """Run the chosen variants and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--shape", choices=[*SHAPES, "both"], default="both")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=24.0)
     parser.add_argument("--fault", choices=[*FAULTS, "all"], default="none")
-    parser.add_argument("--switches", action="store_true", help="also switch each decision off")
+    parser.add_argument(
+        "--switches", action="store_true", help="also run with each decision switched off"
+    )
     options = parser.parse_args()
     shapes = list(SHAPES) if options.shape == "both" else [options.shape]
     faults = list(FAULTS) if options.fault == "all" else [options.fault]
--- a/extras/bench_capacity.py
+++ b/extras/bench_capacity.py
@@ -1,4 +1,4 @@
-"""``make bench-capacity``: the slopes from which docs/CAPACITY.md is worked out, as JSON lines."""
+"""``make bench-capacity``: the figures that docs/CAPACITY.md is computed from, as JSON lines."""
 
 import asyncio
 import json
@@ -39,12 +39,12 @@
 
 
 def print_measurement(name: str, **figures: object) -> None:
-    """Print one measurement."""
+    """Print one measurement as a JSON line."""
     print(json.dumps({"measure": name} | figures), flush=True)
 
 
 def time_call_us(work: Callable[[], object], repeats: int = 200) -> dict[str, float]:
-    """Return the time of one call in microseconds: median and 99th percentile."""
+    """Return the median and 99th percentile of the time of a call, in microseconds."""
     times = []
     for _ in range(repeats):
         started_at = time.perf_counter()
@@ -58,7 +58,7 @@
 
 
 def rss_mb() -> float:
-    """Return this process's resident memory."""
+    """Return the resident memory of this process in megabytes."""
     with open("/proc/self/statm") as statm:
         return int(statm.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
@@ -71,7 +71,7 @@
 
 
 def measure_frames() -> None:
-    """Cost and size of the facts that change each second."""
+    """Measure size, encoding and decoding of the facts that change every second."""
     for count in (1, 3, 27, 940):
         fact = make_load_fact(count)
         body = cbor2.dumps(msgspec.to_builtins(fact, builtin_types=(bytes,)))
@@ -101,7 +101,7 @@
 
 
 def measure_merge() -> None:
-    """Cost of taking a fact into the board and the fleet, and what they weigh."""
+    """Measure merging a fact into the fact table and the fleet, and the memory of both."""
     for endpoints, hosts in ((9, 9), (940, 350)):
         before = rss_mb()
         facts = FactTable("me", 1, SystemClock())
@@ -135,14 +135,14 @@
 
 
 def make_entry(origin: str, topic: str, version: int, fact: object) -> Entry:
-    """Return a fact as it travels."""
+    """Return a fact in the encoding that hosts send."""
     return Entry(
         origin, topic, 1, version, cbor2.dumps(msgspec.to_builtins(fact, builtin_types=(bytes,)))
     )
 
 
 def measure_membership() -> None:
-    """Cost of looking at all hosts and of the rounds over all endpoints."""
+    """Measure listing the live hosts and assigning the endpoints to them."""
     for hosts in (9, 350):
         facts = FactTable("h0", 1, SystemClock())
         own = HostFact("h0", "h0-1", "zone", "", "", "live", 0)
@@ -166,7 +166,7 @@
 
 
 def measure_routing() -> None:
-    """The decision for one request, by the number of endpoints that hold its model."""
+    """Measure the routing of a request by the number of endpoints that hold its model."""
     rng = random.Random(1)
     text = "lorem ipsum " * 700
     blocks = hash_blocks("m@1", text)
@@ -203,7 +203,7 @@
 
 
 def measure_planning() -> None:
-    """One plan, by engines and models; the floor is met and demand has shifted."""
+    """Measure a plan by engines and models; the floors are met and the demand has shifted."""
     for engines, models in ((5, 13), (100, 50), (400, 200), (940, 440)):
         views, names = make_views(engines, models, 4)
         document = make_manifest(HANEUL, [(v.name, "http://127.0.0.1:1") for v in views], [])
@@ -233,7 +233,7 @@
 
 
 def measure_ledger() -> None:
-    """One controller's round on one engine, without the network."""
+    """Measure one reconciliation of a controller with one engine, without the network."""
     for count in (5, 20, 80):
         rows = tuple(Reservation(f"m{n}@1", State.HELD, 1, (n % 8,), n) for n in range(count))
         ledger = Ledger("e0", "h0-1", 1, count, "1", rows)
@@ -248,7 +248,7 @@
 
 
 def measure_manifest() -> None:
-    """Checking a manifest and sending it on, whole and as a difference."""
+    """Measure checking a manifest, and the size and application of a diff."""
     for engines, models, adapters in ((9, 13, 55), (940, 440, 2000)):
         ends = [(f"runner-{n:04}", f"http://10.0.{n // 250}.{n % 250}:80") for n in range(engines)]
         document = make_manifest(HANEUL, ends, [])
@@ -284,7 +284,7 @@
 
 
 async def measure_link() -> None:
-    """One websockets link on loopback: messages and memory."""
+    """Measure messages and memory of websocket links on loopback."""
 
     async def echo(conn) -> None:
         async for raw in conn:
--- a/extras/bench_clients.py
+++ b/extras/bench_clients.py
@@ -1,6 +1,6 @@
-"""``make bench-clients``: processor time of a streamed answer by aiohttp and by blacksheep.
+"""``make bench-clients``: CPU time of a streamed answer in the clients of aiohttp and blacksheep.
 
-A stand-in engine in another process streams; only this process's time counts.
+A stand-in engine streams from another process; the CPU time is that of this process alone.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 async def stream_with_aiohttp(session: aiohttp.ClientSession, url: str) -> int:
-    """Stream once with aiohttp; return the bytes read."""
+    """Send one streamed request with aiohttp and return the number of bytes read."""
     size = 0
     async with session.post(f"{url}/v1/completions", data=BODY) as resp:
         async for part in resp.content.iter_any():
@@ -31,7 +31,7 @@
 
 
 async def stream_with_blacksheep(client: ClientSession, url: str) -> int:
-    """Stream once with blacksheep's client; return the bytes read."""
+    """Send one streamed request with the client of blacksheep and return the bytes read."""
     content = Content(b"application/json", BODY)
     request = Request("POST", f"{url}/v1/completions".encode(), []).with_content(content)
     resp = await client.send(request)
@@ -42,7 +42,7 @@
 
 
 async def drive(work, client, url: str) -> tuple[float, int]:
-    """Return processor milliseconds a request, and the bytes of one answer."""
+    """Return the CPU milliseconds per request and the bytes of the largest answer."""
     left = iter(range(REQUESTS_PER_ROUND))
     sizes = set()
 
@@ -56,7 +56,7 @@
 
 
 async def main_async(url: str) -> None:
-    """Measure both in turn."""
+    """Load the model, then measure the two clients in turn, ROUNDS times."""
     async with aiohttp.ClientSession() as session:
         async with session.post(f"{url}/control/orders", json=ORDER) as resp:
             await resp.read()
@@ -74,7 +74,7 @@
 
 
 def main() -> int:
-    """Start the engine, measure, stop it."""
+    """Start the engine, measure the clients and stop the engine."""
     engine = Process(
         ["tests.standins", "engine", "--step", "0.001", "--batch-limit", "64", "--knee", "64"]
     ).wait_ready()
--- a/extras/bench_control.py
+++ b/extras/bench_control.py
@@ -1,10 +1,10 @@
-"""``make bench-control``: what control costs a host, by its role, as JSON lines.
+"""``make bench-control``: the CPU time of control on one host, by its role, as JSON lines.
 
-One real host in this process: the hub, which holds the lease too, as the first in the hosts' order
-does; a holder that is not the hub; or an ordinary host. A child process plays all the other hosts,
-the engines and the store. The other hosts' facts come as often, and are as large, as those of real
-hosts under load. Processor time is that of the real host's process alone; a second span runs under
-a profiler and gives the functions that cost most. ``--role`` plays one role.
+This process runs one real host: the hub, which holds the lease too, as the first host in the order
+of hosts does; a lease holder that is not the hub; or an ordinary host. A child process simulates
+all other hosts, the engines and the store. The simulated hosts publish facts as often and as large
+as real hosts under load do. CPU time is that of the real host's process alone. A second measurement
+runs under a profiler and lists the most expensive functions. ``--role`` limits the run to one role.
 """
 
 import argparse
@@ -49,11 +49,11 @@
 MEASURED_HOST_ID = "host-000"
 PLAYED_HUB = "host-001"
 CLUSTER_KEY = "a key of sixteen"
-# A host's share of a busy day: requests a second, seconds that one takes, prompt tokens.
+# The load of one host on a busy day: requests per second, seconds per request, prompt tokens.
 REQUESTS_PER_SECOND = 4.0
 REQUEST_SECONDS = 1.5
 PROMPT_TOKENS = 2000
-# Share of a host's looks at which other requests wait for a model than before.
+# Share of the publications of a host in which the models that requests wait for have changed.
 WANTS_CHANGE_SHARE = 0.1
 ITEMS_IN_DEMAND = 12
 MODELS_PER_ENGINE = 2
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Size:
-    """How large the deployment is."""
+    """The number of hosts, engines and models of the deployment."""
 
     hosts: int
     engines: int
@@ -77,7 +77,7 @@
 
 
 def make_config(size: Size) -> dict:
-    """Return a configuration with all models."""
+    """Return a configuration document with all models on one engine service."""
     models = [
         {"name": name, "weights_mb": 66000, "load_s": 5.0, "adapters": 20, "adapter_mb": 12}
         | {"warm_s": 0.38, "disk_s": 1.0}
@@ -89,7 +89,7 @@
 
 
 class SimulatedHost:
-    """Another host: it links to one address and tells facts, and does nothing else."""
+    """A simulated host: it links to one address and publishes facts, and does nothing else."""
 
     def __init__(self, number: int, size: Size, power: int, rng: random.Random):
         self.name = f"host-{number:03}"
@@ -118,7 +118,7 @@
         return links if slot[0] == self.name else ()
 
     def publish_work(self, engines: list[str]) -> None:
-        """Tell of work on some engines, and now and then of what requests wait for."""
+        """Publish the load of some engines and, at times, the models that requests wait for."""
         rng = self._rng
         busy = rng.sample(engines, min(len(engines), 5))
         self.facts.publish("work", encode_work({name: (1, rng.randrange(4000)) for name in busy}))
@@ -127,7 +127,7 @@
             self.facts.publish("wants", WantsFact(items if rng.random() < 0.5 else {}, []))
 
     def publish_demand(self) -> None:
-        """Tell what callers ask for."""
+        """Publish the demand of callers."""
         names = self._rng.sample(model_names(self._size)[:20], ITEMS_IN_DEMAND)
         items = [f"{name}/a{self._rng.randrange(20)}" for name in names[::2]] + names[1::2]
         rates = {item: round(self._rng.random() * 0.05, 4) for item in items}
@@ -135,7 +135,7 @@
 
 
 class SimulatedHub(SimulatedHost):
-    """The hub, played: it passes on what all the other played hosts tell."""
+    """The simulated hub: it relays the facts of all other simulated hosts."""
 
     upward_topics: frozenset[str] = frozenset()
 
@@ -143,12 +143,12 @@
         return links if slot[1] not in HUB_TOPICS or slot[1] in self.upward_topics else ()
 
     def merge_facts_of(self, other: SimulatedHost) -> None:
-        """Take in the facts of another played host."""
+        """Merge the facts of another simulated host."""
         self.facts.merge(facts_of(other.facts, [(other.name, t) for t in ("host", *HUB_TOPICS)]))
 
 
 class SimulatedDeployment:
-    """All but the measured host."""
+    """The simulated hosts, the engines and the store: all but the measured host."""
 
     def __init__(self, size: Size, role: str, rng: random.Random):
         self._size = size
@@ -188,7 +188,7 @@
         return lambda: self.store.put("servers", engine.name, engine.entry("engines", **warm))
 
     def start_publishing(self, measured: str) -> None:
-        """Begin to tell facts; in the role of the hub, link all hosts to the measured one."""
+        """Start to publish facts; if the measured host is the hub, link all hosts to it."""
         hosts = [self.hub, *self.hosts]
         names = [engine.name for engine in self.engines]
         slow = self._size.hosts / HUB_FACTS_PER_SECOND
@@ -207,7 +207,7 @@
             self._repeat(lambda: slow, self._relay_facts)
 
     def _relay_facts(self) -> None:
-        """Let the played hub pass on what is new, as seldom as a hub with so many links does."""
+        """Let the simulated hub relay new facts, at the rate of a hub with this many links."""
         for host in self.hosts:
             self.hub.merge_facts_of(host)
 
@@ -236,7 +236,7 @@
 
 
 def simulate_others(size: Size, role: str, pipe: Connection) -> None:
-    """Play all but the measured host, in a process of its own."""
+    """Simulate all but the measured host; this runs in a child process."""
 
     async def run() -> None:
         deployment = SimulatedDeployment(size, role, random.Random(1))
@@ -251,7 +251,7 @@
 
 
 def make_host(store: str, hub: str, role: str) -> RelayHost:
-    """Return the measured host."""
+    """Return the measured host, configured for a role."""
     listen = Listen(*(free_address() for _ in range(4)))
     seeds: tuple[Address, ...] = () if role == "hub" else (parse_address(hub),)
     link = 1000.0 if role == "hub" else 10.0
@@ -272,7 +272,7 @@
 
 
 async def simulate_requests(host: RelayHost) -> None:
-    """Note requests on engines in the host's fleet, without sending any."""
+    """Record requests in the host's fleet, without sending any."""
     rng = random.Random(3)
     loop = asyncio.get_running_loop()
     for number in range(1_000_000):
@@ -290,14 +290,14 @@
 
 
 async def measure_cores(seconds: float) -> float:
-    """Let the host run, and return the processor seconds that a second took."""
+    """Let the host run for some seconds and return its CPU seconds per second."""
     started_at, used = time.monotonic(), time.process_time()
     await asyncio.sleep(seconds)
     return (time.process_time() - used) / (time.monotonic() - started_at)
 
 
 def format_profile(profile: cProfile.Profile, seconds: float, count: int) -> list[str]:
-    """Return the functions with the most processor time in them and below them."""
+    """Return a table of the functions with the most cumulative CPU time."""
     rows = []
     for (path, _, name), (_, calls, own, whole, _) in pstats.Stats(profile).stats.items():
         if "peridotdock" in path or own / seconds > 0.002:
@@ -313,7 +313,7 @@
 async def measure(
     role: str, pipe: Connection, seconds: float, wait: Callable[[RelayHost], Awaitable[None]]
 ) -> tuple[dict, cProfile.Profile]:
-    """Run the host in a role; return its figures and a profile of the same length."""
+    """Run the host in a role; return its figures, and a profile over another ``seconds``."""
     store, hub = pipe.recv()
     host = make_host(store, hub, role)
     await host.start()
@@ -343,19 +343,21 @@
 
 
 async def settle(host: RelayHost) -> None:
-    """Wait until the start's work is done."""
+    """Wait until the work of the start is done."""
     await asyncio.sleep(SETTLE_SECONDS)
 
 
 def main() -> int:
-    """Play the roles in turn."""
+    """Measure the roles in turn."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--role", choices=ROLES, action="append")
     parser.add_argument("--hosts", type=int, default=83)
     parser.add_argument("--engines", type=int, default=64)
     parser.add_argument("--models", type=int, default=74)
     parser.add_argument("--seconds", type=float, default=8.0)
-    parser.add_argument("--top", type=int, default=0, help="functions to show for each role")
+    parser.add_argument(
+        "--top", type=int, default=0, help="number of functions to show for each role"
+    )
     options = parser.parse_args()
     size = Size(options.hosts, options.engines, options.models)
     spawn = multiprocessing.get_context("spawn")
--- a/extras/bench_idle.py
+++ b/extras/bench_idle.py
@@ -1,7 +1,7 @@
-"""``make bench-idle``: what control costs a host without traffic, by the number of hosts.
+"""``make bench-idle``: the cost of control per host without traffic, by the number of hosts.
 
-Real processes on loopback: hosts that watch, order, plan and tell each other, and nothing more.
-Each line gives processor share, resident memory and bytes between hosts, per host.
+Host processes on loopback watch endpoints, order, plan and exchange facts, and serve no requests.
+Each JSON line holds the CPU share, resident memory and peer traffic per host.
 """
 
 import argparse
@@ -23,13 +23,13 @@
 
 
 def rss_mb(process: Process) -> float:
-    """Return a child's resident memory."""
+    """Return the resident memory of a child process in megabytes."""
     with open(f"/proc/{process.child.pid}/statm") as statm:
         return int(statm.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 async def peer_bytes(deployment: Deployment) -> list[float]:
-    """Return the bytes each host has sent to and received from other hosts."""
+    """Return the bytes that each host has exchanged with other hosts, sent plus received."""
     found = []
     async with aiohttp.ClientSession() as session:
         for host in deployment.hosts.values():
@@ -41,7 +41,7 @@
 
 
 async def platform_calls(deployment: Deployment) -> dict[str, int]:
-    """Return the platform's count of reads and writes."""
+    """Return how many reads and writes the platform has served."""
     async with (
         aiohttp.ClientSession() as session,
         session.get(f"{deployment.platform.url}/counts") as resp,
@@ -50,7 +50,7 @@
 
 
 def measure(hosts: int, engines: int, seconds: float) -> dict:
-    """Start a deployment, let it rest, and measure it for some seconds."""
+    """Start a deployment, wait until it is idle, and measure it for some seconds."""
     deployment = Deployment(HANEUL, engines, 1, hosts, host_options=["--log-level", "ERROR"])
     try:
         deployment.start()
@@ -81,7 +81,7 @@
 
 
 def main() -> int:
-    """Measure some numbers of hosts."""
+    """Measure deployments with the given numbers of hosts."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--hosts", type=int, nargs="+", default=[1, 3, 6, 9, 12])
     parser.add_argument("--engines", type=int, default=5)
--- a/extras/bench_path.py
+++ b/extras/bench_path.py
@@ -1,7 +1,7 @@
-"""``make bench-path``: what one host adds to calling the engine straight, as JSON lines.
+"""``make bench-path``: the latency and CPU time that one host adds to a request, as JSON lines.
 
-The same requests go straight to a stand-in engine and through one host, in the same run. Processor
-time is that of the host's process alone.
+The same requests go directly to a stand-in engine and through one host, in the same run. CPU time
+is that of the host process alone.
 """
 
 import argparse
@@ -21,14 +21,17 @@
 
 
 def cpu_seconds(process: Process) -> float:
-    """Return the processor time a child has used."""
+    """Return the CPU time of a child process in seconds."""
     with open(f"/proc/{process.child.pid}/stat") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 async def send_request(session: aiohttp.ClientSession, url: str, tokens: int, times: list) -> None:
-    """Send one streamed request; note the time to its first token and the times between."""
+    """Send one streamed request and record its times in seconds.
+
+    They are the time to the first token, the mean time between tokens and the total.
+    """
     body = {"model": MODEL, "prompt": "hello", "stream": True, "max_tokens": tokens}
     headers = {"authorization": f"Bearer {TOKEN}", "x-request-id": os.urandom(8).hex()}
     started_at = last = time.perf_counter()
@@ -45,7 +48,7 @@
 
 
 async def drive(url: str, count: int, concurrency: int, tokens: int) -> tuple[list, float]:
-    """Send ``count`` requests, ``at_once`` at a time; return their times and the whole time."""
+    """Send ``count`` requests, ``concurrency`` at a time; return their times and the total time."""
     times: list = []
     left = iter(range(count))
     connector = aiohttp.TCPConnector(limit=0)
@@ -61,13 +64,13 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile in milliseconds."""
+    """Return a quantile of values in seconds, in milliseconds."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(len(ordered) * share))] * 1000, 3)
 
 
 def describe(times: list) -> dict[str, float]:
-    """Return the 50th and 99th percentile of first token and of the mean between tokens."""
+    """Return the 50th and 99th percentile of both token times, in milliseconds."""
     first, between = [t[0] for t in times], [t[1] for t in times]
     return {
         "first_p50_ms": quantile(first, 0.5),
@@ -78,7 +81,7 @@
 
 
 def main() -> int:
-    """Measure both ways in turn, some times over."""
+    """Measure both paths in turn, for a number of rounds."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--count", type=int, default=400)
     parser.add_argument("--at-once", type=int, default=4)
@@ -118,7 +121,7 @@
     spent: float,
     options: argparse.Namespace,
 ) -> None:
-    """Print one round."""
+    """Print the figures of one round as a JSON line."""
     count = options.count
     row = {
         "round": number,
--- a/extras/bench_relay.py
+++ b/extras/bench_relay.py
@@ -1,8 +1,8 @@
-"""``make bench-relay``: what a request costs one relaying host, as JSON lines.
+"""``make bench-relay``: the CPU time of a request on one relaying host, as JSON lines.
 
-Stand-ins for the store and the runners and the callers run here, the host in a process of its own,
-whose processor time alone is counted. The mix is that of a deployment: of three requests two are
-streams of 34 events, and one is plain.
+The callers and the stand-ins for store and runners run in this process, the host in a process of
+its own, and CPU time is that of the host alone. The mix of requests is that of a deployment: of
+three requests, two are streams of 34 events and one is plain.
 """
 
 import argparse
@@ -37,13 +37,13 @@
 PATHS = ("/recap/", "/recap/", "/fetch/")
 EVENTS = 34
 EVENT_INTERVAL_SECONDS = 0.02
-# Seconds until a host surely serves, profiled too, and requests before the first round.
+# Seconds after which a host serves, even under the profiler, and requests before the first round.
 START_SECONDS = 3.0
 WARM_UP_REQUESTS = 60
 
 
 def write_settings(path: Path, store: str) -> str:
-    """Write the host's settings file; return where it takes callers."""
+    """Write the settings file of the host; return the address of its listener for callers."""
     names = ("front", "ready", "directory", "control")
     listen = {name: str(free_address()) for name in names}
     rows = ['node_name = "h1"', 'zone = "north"', "seeds = []", "[listen]"]
@@ -55,7 +55,7 @@
 
 
 async def send_request(session: aiohttp.ClientSession, url: str, path: str, number: int) -> float:
-    """Send one request and read its answer whole; return the seconds it took."""
+    """Send one request, read its complete answer and return the seconds that it took."""
     headers = {"host": "shop.example", "x-attempt-id": f"a{number}", "x-deadline-ms": "6000"}
     if path == "/recap/":
         headers |= {
@@ -72,7 +72,7 @@
 
 
 async def drive(url: str, count: int, per_second: float) -> list[float]:
-    """Send ``count`` requests at a steady rate."""
+    """Send ``count`` requests at a steady rate and return the seconds that each took."""
     tasks = []
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         started_at = time.perf_counter()
@@ -84,13 +84,13 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time a process has used."""
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 async def start_runners(store: TableStandin, count: int) -> list[RunnerStandin]:
-    """Start model runners and four of a plain service, and register them."""
+    """Start ``count`` engines and four endpoints of a plain service, and register them."""
     started = []
     for service, number in (("engines", count), ("pages", 4)):
         for index in range(number):
@@ -103,7 +103,7 @@
 
 
 async def start_host(settings: Path, options: argparse.Namespace) -> asyncio.subprocess.Process:
-    """Start the host, under the profiler where that is asked for."""
+    """Start the host, under cProfile if ``--profile`` is given."""
     wrap = ["-m", "cProfile", "-o", options.profile] if options.profile else []
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -115,7 +115,7 @@
 
 
 async def measure(options: argparse.Namespace) -> None:
-    """Start all, wait until the host serves, and drive it."""
+    """Start the deployment, wait until the host serves, and measure all rounds."""
     store = await TableStandin().start()
     store.put("op", "config", json.dumps(CONFIG).encode())
     runners = await start_runners(store, options.engines)
@@ -137,7 +137,7 @@
 
 
 async def measure_round(number: int, url: str, pid: int, options: argparse.Namespace) -> None:
-    """Drive the host once and report."""
+    """Send the requests of one round and print its figures as a JSON line."""
     used, started_at = cpu_seconds(pid), time.perf_counter()
     times = sorted(await drive(url, options.count, options.per_second))
     used = cpu_seconds(pid) - used
@@ -152,13 +152,13 @@
 
 
 def main() -> int:
-    """Read the options and measure."""
+    """Parse the options and run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--count", type=int, default=600)
     parser.add_argument("--per-second", type=float, default=60)
     parser.add_argument("--engines", type=int, default=30)
     parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--profile", default="", help="file for the host's profile")
+    parser.add_argument("--profile", default="", help="file for the cProfile output of the host")
     asyncio.run(measure(parser.parse_args()))
     return 0
 
--- a/extras/bench_start.py
+++ b/extras/bench_start.py
@@ -1,7 +1,8 @@
-"""``make bench-start``: what a start of the relaying daemon costs before it can do anything.
+"""``make bench-start``: the CPU time of importing the relaying daemon.
 
-Processor seconds of an interpreter that imports the daemon and ends, each with one more thing left
-out: the least of some runs, as other work on the machine only adds to it, and the median.
+It measures the CPU seconds of an interpreter that imports the daemon and exits, in variants that
+each leave out one more thing. It prints the minimum of several runs, as other work on the machine
+only adds to it, and the median.
 """
 
 import argparse
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A way to start: the program, the interpreter's options, what the environment has more."""
+    """A way to start: the program, interpreter options and additional environment variables."""
 
     name: str
     code: str
@@ -47,7 +48,7 @@
 
 
 def measure(variant: Variant) -> float:
-    """Run one interpreter to its end and return its processor seconds."""
+    """Run one interpreter until it exits and return its CPU seconds."""
     environ = {**os.environ, **dict(variant.environ), "PYTHONPATH": os.pathsep.join(sys.path[1:])}
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     subprocess.run([sys.executable, *variant.options, "-c", variant.code], env=environ, check=True)
@@ -56,12 +57,12 @@
 
 
 def main() -> None:
-    """Print a line for each way to start."""
+    """Print the minimum and median CPU seconds of each variant."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=8)
     runs = parser.parse_args().runs
     print(f"{'processor seconds':42}{'least':>20}{'median':>10}")
-    # In turn, so that what else the machine does falls on all of them alike.
+    # The variants run in turn, so that other load on the machine affects all of them equally.
     rounds = [[measure(variant) for variant in VARIANTS] for _ in range(runs)]
     for variant, seconds in zip(VARIANTS, zip(*rounds, strict=True), strict=True):
         print(f"{variant.name:42}{min(seconds):20.3f}{statistics.median(seconds):10.3f}")
--- a/extras/check_wire.py
+++ b/extras/check_wire.py
@@ -1,7 +1,7 @@
-"""Check that the platform's names stand in its adapter alone.
+"""Check that names of the users' platform occur in its adapter alone.
 
-Exit 1 and one line for each place outside ``peridotdock/platform`` that names a header, call or
-field of the users' platform.
+Prints each line outside ``peridotdock/platform`` that names a header, call or field of the users'
+platform, and exits with 1 if there is any.
 """
 
 import re
@@ -19,7 +19,7 @@
 
 
 def main() -> int:
-    """Print every place and return the exit status."""
+    """Print all matching lines and return the exit status."""
     found = 0
     for path in sorted(PACKAGE.rglob("*.py")):
         if ADAPTER in path.parents:
--- a/extras/demo.py
+++ b/extras/demo.py
@@ -1,4 +1,4 @@
-"""``make run``: a whole deployment on loopback, until Ctrl-C."""
+"""``make run``: runs a complete deployment on loopback until Ctrl-C."""
 
 import argparse
 import signal
@@ -11,7 +11,7 @@
 
 
 def main() -> int:
-    """Start, publish, say where, wait, stop."""
+    """Start a deployment, publish its manifest, print its token and URL, and wait."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--shape", choices=sorted(SHAPES), default="haneul")
     shape = SHAPES[parser.parse_args().shape]
--- a/extras/engine_model.py
+++ b/extras/engine_model.py
@@ -1,8 +1,9 @@
-"""A model of engines in virtual time: prompts read in pieces between the tokens of streams.
+"""A simulation of engines in virtual time, with chunked prefill between the steps of decoding.
 
-``play`` sends a seeded load through a policy that stands for the hosts, and says how many callers
-got their first token in time and their events without long pauses. A second takes some
-hundredths, so policies are compared over many seeds here before they meet real processes.
+``simulate`` sends a seeded load through a policy that stands for the hosts, and returns the shares
+of callers that got their first token in time and their events without long pauses. A simulated
+second takes some hundredths of a second, so that policies can be compared over many seeds before
+they run in real processes.
 """
 
 import heapq
@@ -14,19 +15,20 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-# Seconds from a host to an engine, one way.
+# One-way network delay between a host and an engine, in seconds.
 TRANSIT_SECONDS = 0.001
-# Seconds after the last arrival until the play ends.
+# Seconds that the simulation goes on after the last arrival.
 TAIL_SECONDS = 3.0
-# Share of its prompt that a caller shares with others and that is kept on the engine, on average.
+# Mean share of the shared part of a prompt that is cached on the engine.
 CACHED_SHARE = 0.65
 
 
 @dataclass(frozen=True)
 class EngineShape:
-    """What an engine does: seconds a step, prompt tokens a second, tokens read in one step.
+    """The speed of an engine: seconds per step and per prompt token, prompt tokens per step.
 
-    An event of a stream holds ``event_tokens``; each step makes one token of each stream.
+    Each step generates one token for each running stream, and prefills up to ``chunk_tokens``. An
+    event of a stream holds ``event_tokens``.
     """
 
     step_seconds: float = 0.00523
@@ -37,13 +39,13 @@
 
     @property
     def event_seconds(self) -> float:
-        """Return the seconds between two events while nothing is read."""
+        """Return the seconds between two events of a stream while no prompt is prefilled."""
         return self.step_seconds * self.event_tokens
 
 
 @dataclass(frozen=True)
 class Route:
-    """Requests of one kind: how many a second, their sizes, and what their callers accept."""
+    """Requests of one kind: their rate per second, their sizes, and the target of their callers."""
 
     rate: float
     prompt_tokens: float
@@ -59,7 +61,7 @@
 
 @dataclass
 class Prompt:
-    """One request on its way."""
+    """One request and its progress; times are in seconds of virtual time."""
 
     id: int
     route: Route
@@ -79,27 +81,27 @@
 
 
 class Policy(Protocol):
-    """What the hosts do. ``decide`` gives the engine, or a time to ask again, or None to refuse."""
+    """The behaviour of the hosts."""
 
     def decide(self, now: float, prompt: Prompt, holders: Sequence[int]) -> int | float | None:
-        """Return an engine's number (int), when to ask again (float), or None."""
+        """Return the number of an engine (int), a time to retry (float), or None to refuse."""
 
     def request_sent(self, now: float, prompt: Prompt) -> None:
-        """Note that a prompt is sent."""
+        """Record that a prompt is sent."""
 
     def first_token_received(self, now: float, prompt: Prompt) -> None:
-        """Note a first token."""
+        """Record a first token."""
 
     def request_ended(self, now: float, prompt: Prompt) -> None:
-        """Note the end of a stream."""
+        """Record the end of a stream."""
 
     def publish_load(self, now: float) -> None:
-        """Tell other hosts what this one has on engines."""
+        """Publish the load of each host on the engines to the other hosts."""
 
 
 @dataclass
 class Engine:
-    """One engine: prompts that wait, streams that run."""
+    """One engine, with its waiting prompts and running streams."""
 
     shape: EngineShape
     waiting: list[Prompt] = field(default_factory=list)
@@ -107,7 +109,7 @@
     active: bool = False
 
     def begin_step(self) -> tuple[float, list[Prompt]] | None:
-        """Return how long the next step takes and whose prompts it finishes, None when idle."""
+        """Return the seconds of the next step and the prompts it finishes; None if it is idle."""
         left, done = self.shape.chunk_tokens, []
         self.waiting.sort(key=lambda prompt: (prompt.route.rank, prompt.sent_at))
         while left and self.waiting and len(self.running) + len(done) < self.shape.slots:
@@ -126,7 +128,7 @@
 
 @dataclass(frozen=True)
 class SimulationResult:
-    """What became of a load: worth earned over worth asked for, and shares of the requests."""
+    """The result of a load: the earned share of its worth, and the share of each outcome."""
 
     worth: float
     shares: Mapping[str, float]
@@ -134,7 +136,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A load and where its models are held: for each model, the engines that have it."""
+    """A load of requests; ``holders`` are the engines of each model. Times are in seconds."""
 
     routes: Sequence[Route]
     holders: Sequence[Sequence[int]]
@@ -146,7 +148,7 @@
 
 
 def make_prompts(load: Load, rng: random.Random) -> list[Prompt]:
-    """Return the requests of a play."""
+    """Return the requests of a simulation, sorted by arrival."""
     found, numbers = [], itertools.count()
     for route in load.routes:
         at = rng.expovariate(route.rate)
@@ -162,13 +164,13 @@
 
 
 def draw_size(rng: random.Random, mean: float, spread: float, max_size: float) -> float:
-    """Draw a size whose logarithm is normal; ``spread`` is its deviation over its mean."""
+    """Draw a size from a log-normal distribution with standard deviation ``spread * mean``."""
     sigma = math.sqrt(math.log(1 + spread * spread))
     return min(max_size, rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma))
 
 
 class Simulation:
-    """One play: a queue of what happens next, in virtual time."""
+    """One simulation: a queue of events in virtual time."""
 
     def __init__(self, load: Load, shape: EngineShape, policy: Policy, engines: int):
         self._load = load
@@ -178,7 +180,7 @@
         self._numbers = itertools.count()
 
     def run(self, prompts: Sequence[Prompt]) -> None:
-        """Play all requests."""
+        """Simulate all requests."""
         for prompt in prompts:
             self._schedule(prompt.arrived_at, self._on_prompt, prompt)
         self._schedule(self._load.publish_interval, self._tick, None)
@@ -243,7 +245,7 @@
 
 
 def summarise(prompts: Sequence[Prompt], load: Load) -> SimulationResult:
-    """Return what became of the requests; a late answer is worth half."""
+    """Return the result of the requests; a late answer earns half of its worth."""
     counts: Counter[str] = Counter()
     worth = 0.0
     for prompt in prompts:
@@ -255,7 +257,7 @@
 
 
 def classify(prompt: Prompt, load: Load) -> str:
-    """Return what became of one request."""
+    """Return the outcome of one request."""
     if prompt.denied:
         return "denied"
     waited = (
@@ -271,7 +273,7 @@
 def simulate(
     load: Load, shape: EngineShape, policy: Callable[[random.Random], Policy], seed: int
 ) -> SimulationResult:
-    """Play a load with a policy and judge it."""
+    """Simulate a load with a policy and return the result."""
     rng = random.Random(seed)
     prompts = make_prompts(load, rng)
     engines = 1 + max(max(row) for row in load.holders if row)
--- a/extras/fleet_processes.py
+++ b/extras/fleet_processes.py
@@ -1,4 +1,4 @@
-"""Start and stop a small deployment of real processes on loopback, for the demo and for tests."""
+"""Starts and stops a small deployment of processes on loopback, for demo, benchmarks and tests."""
 
 import json
 import os
@@ -20,7 +20,11 @@
 
 
 class Process:
-    """A child process that prints ``ready: URL`` when it serves."""
+    """A child process that prints ``ready: URL`` when it serves.
+
+    ``args`` is the module to run and its arguments, ``log`` the file that gets the standard error
+    output, ``checkout`` the folder with the code.
+    """
 
     def __init__(self, args: Sequence[str], log: str = os.devnull, checkout: Path = ROOT):
         environ = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONUNBUFFERED": "1"}
@@ -36,7 +40,7 @@
         self.url = ""
 
     def wait_ready(self) -> "Process":
-        """Wait for the line that says where it serves."""
+        """Wait for the line with the URL; raise RuntimeError if the process ends first."""
         for line in self.child.stdout:
             if line.startswith(READY_PREFIX):
                 self.url = line.removeprefix(READY_PREFIX).strip()
@@ -44,12 +48,12 @@
         raise RuntimeError(f"process {self.child.args} ended with {self.child.wait()}")
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process, if it is running."""
         if self.child.poll() is None:
             self.child.send_signal(number)
 
     def stop(self, seconds: float = 20.0) -> int:
-        """Ask the process to stop; kill it when it does not."""
+        """Stop the process with SIGTERM, kill it after ``seconds``, and return its exit status."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
@@ -60,9 +64,9 @@
 
 
 class Deployment:
-    """A platform, engines, services and hosts, each a process of its own.
+    """A platform, engines, services and hosts, each in its own process.
 
-    Hosts of odd number run from the checkout ``beside`` if it is given.
+    Hosts of odd number run the code of the checkout ``beside`` if it is given.
     """
 
     def __init__(
@@ -90,7 +94,7 @@
         self.hosts: dict[str, Process] = {}
 
     def start(self) -> "Deployment":
-        """Start everything and wait until each process serves."""
+        """Start all processes and wait until each of them serves."""
         engines, services, hosts = self._counts
         self.platform = self._spawn(
             "tests.standins", "platform", *self._platform_options
@@ -123,33 +127,38 @@
         return self._spawn("peridotdock.cli.daemon", *options, checkout=checkout)
 
     def add_host(self, number: int) -> Process:
-        """Start one more host, or one in the place of another."""
+        """Start a host, additional or in place of the one with the same number, and wait for it."""
         process = self._spawn_host(number).wait_ready()
         self.hosts[f"host-{number}"] = process
         return process
 
     def manifest(self) -> dict:
-        """Return the sample manifest for these endpoints."""
+        """Return the sample manifest for the endpoints of this deployment."""
         engines = [(name, process.url) for name, process in self.engines.items()]
         services = [(name, process.url) for name, process in self.services.items()]
         return make_manifest(self.shape, engines, services)
 
     def publish(self, document: dict) -> dict:
-        """Publish a manifest through one host."""
+        """Publish a manifest through the first host and return its answer."""
         host = next(iter(self.hosts.values()))
         return call_admin(
             f"{host.url}/admin/manifest", OPERATOR_TOKEN, json.dumps(document).encode()
         )
 
     def wait_converged(self, generation: int) -> None:
-        """Wait until a manifest is in force and true on every host."""
+        """Wait until every host reports the generation as in force and its state as converged.
+
+        Raises RuntimeError after START_TIMEOUT_SECONDS.
+        """
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         waiting = list(self.hosts.values())
         while waiting and time.monotonic() < deadline:
             waiting = [host for host in waiting if not self._has_converged(host, generation)]
             time.sleep(0.1)
         if waiting:
-            raise RuntimeError(f"not true after {START_TIMEOUT_SECONDS} s on {len(waiting)} hosts")
+            raise RuntimeError(
+                f"not converged after {START_TIMEOUT_SECONDS} s on {len(waiting)} hosts"
+            )
 
     def _has_converged(self, host: Process, generation: int) -> bool:
         try:
@@ -160,7 +169,7 @@
         return everywhere and status["true"] and status["generation"] >= generation
 
     def stop(self) -> None:
-        """Stop everything, hosts first."""
+        """Stop all processes, the hosts first."""
         for process in self.hosts.values():
             process.signal(signal.SIGTERM)
         others = (*self.engines.values(), *self.services.values(), self.platform)
@@ -170,7 +179,7 @@
 
 
 def call_admin(url: str, token: str, body: bytes | None = None) -> dict:
-    """Call a host as an operator."""
+    """Send an operator's request to a host and return the JSON answer; a body makes it a POST."""
     request = urllib.request.Request(url, body, {"authorization": f"Bearer {token}"})
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     with opener.open(request, timeout=10) as resp:
--- a/extras/generate.py
+++ b/extras/generate.py
@@ -1,6 +1,6 @@
 """Generate the frozen data classes in ``peridotdock/schema`` from the schemas beside them.
 
-Run ``make generate`` after a change of a schema; ``make check-generated`` compares only.
+Run ``make generate`` after a change of a schema. ``make check-generated`` only compares them.
 """
 
 import subprocess
--- a/extras/mutants.py
+++ b/extras/mutants.py
@@ -1,8 +1,8 @@
-"""Take each guard out, one at a time, and see that its proof then fails.
+"""Mutation tests: remove one guard of the code at a time and check that its tests then fail.
 
-A proof that has never failed proves nothing. ``make mutants`` copies the tree, removes one guard,
-runs the tests named for it and expects a failure; it prints one line a guard. docs/PROOFS.md has
-the outcome of the last full run.
+A test that has never failed proves nothing. ``make mutants`` copies the tree, removes one guard,
+runs the tests named for it and expects a failure; it prints one line for each guard. docs/PROOFS.md
+holds the results of the last full run.
 """
 
 import shutil
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A guard: where it stands, what replaces it, and the tests that must then fail."""
+    """A guard in a file of ``peridotdock``, its replacement, and the tests that must then fail."""
 
     name: str
     file: str
@@ -393,7 +393,7 @@
 
 
 def run(mutant: Mutant) -> str:
-    """Return what became of a mutant: caught, or why not."""
+    """Return the result of a mutant: it starts with ``caught`` if its tests failed or hung."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "tree"
         ignore = shutil.ignore_patterns(".git", ".venv", "__pycache__", ".hypothesis")
@@ -401,7 +401,7 @@
         path = copy / "peridotdock" / mutant.file
         text = path.read_text()
         if text.count(mutant.old) != 1:
-            return f"the guard stands {text.count(mutant.old)} times"
+            return f"the guard occurs {text.count(mutant.old)} times"
         path.write_text(text.replace(mutant.old, mutant.new))
         command = [sys.executable, "-m", "tests", *mutant.tests.split()]
         try:
@@ -412,7 +412,7 @@
 
 
 def main() -> int:
-    """Run all mutants, or those whose name contains the first argument."""
+    """Run all mutants, or those whose name contains the first argument; return the exit status."""
     wanted = sys.argv[1] if len(sys.argv) > 1 else ""
     missed = 0
     for mutant in MUTANTS:
--- a/extras/pacing_policies.py
+++ b/extras/pacing_policies.py
@@ -1,4 +1,4 @@
-"""What hosts do in the model of engines: by themselves, or with prompts paced for all of them."""
+"""Policies for the simulation of engines: local choice by each host, or one paced queue for all."""
 
 import math
 import random
@@ -9,20 +9,20 @@
 from peridotdock.decisions.choice import Candidate, RequestCost, choose
 from peridotdock.decisions.pacing import Denial, Grant, PaceLimit, Pacer, QueuedPrompt, limit_pace
 
-# Seconds between two questions of a host whose prompt is queued.
+# Seconds between two checks of a host whether its queued prompt may be sent.
 POLL_SECONDS = 0.002
-# Seconds between sending and the first token besides reading.
+# Seconds between sending a prompt and its first token, besides the prefill.
 OVERHEAD_SECONDS = 0.03
 SERVICE_SECONDS = 1.5
 
 
 def estimate_cost(prompt: Prompt, shape: EngineShape) -> RequestCost:
-    """Return what a prompt asks of an engine."""
+    """Return the cost of a prompt on an engine."""
     return RequestCost(prompt.tokens, 0, shape.seconds_per_token, SERVICE_SECONDS)
 
 
 class LocalPolicy:
-    """Each host chooses by its own sends and by the others' sums of a while ago."""
+    """Each host chooses by its own requests and by the sums that the others published earlier."""
 
     def __init__(self, load: Load, shape: EngineShape, rng: random.Random):
         self._shape = shape
@@ -45,28 +45,28 @@
         return Candidate(str(engine), ahead, running, self._shape.slots, 0, False, 1.0, True)
 
     def request_sent(self, now: float, prompt: Prompt) -> None:
-        """Count a prompt."""
+        """Add a prompt to the load of its engine."""
         own = self._own[prompt.host]
         own[prompt.engine] = own.get(prompt.engine, 0) + prompt.tokens
         self._running[prompt.engine] = self._running.get(prompt.engine, 0) + 1
 
     def first_token_received(self, now: float, prompt: Prompt) -> None:
-        """Count a prompt as read."""
+        """Remove the prompt tokens from the load of the engine."""
         self._own[prompt.host][prompt.engine] -= prompt.tokens
 
     def request_ended(self, now: float, prompt: Prompt) -> None:
-        """Count a stream as ended."""
+        """Remove a stream from the load of its engine."""
         self._running[prompt.engine] -= 1
 
     def publish_load(self, now: float) -> None:
-        """Pass the sums on: what was told a tick ago is heard now."""
+        """Publish the sums; they reach the other hosts one interval later."""
         self._received = self._published
         self._published = [dict(row) for row in self._own]
 
 
 @dataclass
 class PendingPrompt:
-    """A prompt that the pacer has decided on, or not yet."""
+    """A prompt in the queue of the pacer; ``outcome`` is None until the pacer has decided."""
 
     prompt: Prompt
     holders: Sequence[int]
@@ -74,7 +74,7 @@
 
 
 class PacedPolicy:
-    """One queue for all hosts."""
+    """One queue for all hosts, paced by the Pacer of the hub."""
 
     def __init__(
         self, load: Load, shape: EngineShape, rng: random.Random, limit: PaceLimit | None = None
@@ -89,7 +89,7 @@
         self._next_dispatch = -math.inf
 
     def decide(self, now: float, prompt: Prompt, holders: Sequence[int]) -> int | float | None:
-        """Ask for the prompt, or look what became of it."""
+        """Queue the prompt on the first call; later return the decision on it."""
         row = self._queued.get(prompt.id)
         if row is None:
             row = self._queued[prompt.id] = PendingPrompt(prompt, holders)
@@ -129,16 +129,16 @@
         ]
 
     def request_sent(self, now: float, prompt: Prompt) -> None:
-        """Count a stream."""
+        """Add a stream to the load of its engine."""
         self._running[prompt.engine] = self._running.get(prompt.engine, 0) + 1
 
     def first_token_received(self, now: float, prompt: Prompt) -> None:
-        """Do nothing: the pacer knows what it gave."""
+        """Do nothing: the pacer tracks the prompts that it has granted."""
 
     def request_ended(self, now: float, prompt: Prompt) -> None:
-        """Count a stream as ended."""
+        """Remove a stream from the load of its engine."""
         self._running[prompt.engine] -= 1
 
     def publish_load(self, now: float) -> None:
-        """Hear what runs where."""
+        """Pass the numbers of running streams to the pacer."""
         self._known_running = dict(self._running)
--- a/extras/samples.py
+++ b/extras/samples.py
@@ -1,4 +1,4 @@
-"""Sample manifests in the sizes of the two first deployments, written for given endpoints."""
+"""Sample manifests in the sizes of the first two deployments, for given endpoints."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """A deployment: its domains, models, adapters and how it weighs moves."""
+    """The shape of a deployment: failure domains, model and adapter counts, price of a move."""
 
     name: str
     domains: tuple[str, ...]
@@ -33,7 +33,7 @@
 
 
 def digest_token(token: str) -> str:
-    """Return a token as it stands in a manifest."""
+    """Return the SHA-256 digest of a token, as manifests hold it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
--- a/extras/soak/__init__.py
+++ b/extras/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: the real daemons as processes, faults from outside, promises checked meanwhile."""
+"""A soak test that runs the daemons, injects faults and checks the guarantees to callers."""
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m extras.soak``: play seeds, print each verdict, end with ``N passed, N failed``."""
+"""``python -m extras.soak``: runs seeded fault plans and prints the outcome of each.
+
+The last line is ``N passed, N failed``.
+"""
 
 import asyncio
 import logging
@@ -20,16 +23,16 @@
 from tests.standins.runner import EVENTS, RunnerStandin
 
 CALLER_COUNT = 8
-# Callers that send the same request, which ends endpoints, beside what they send otherwise.
+# Callers that also repeat one request that crashes endpoints.
 POISON_CALLER_COUNT = 2
-# Seconds after the last fault in which hosts may come back before they are probed.
+# Seconds that hosts have after the last fault to recover before probes are sent.
 RECOVERY_SECONDS = 7.0
 PROBE_COUNT = 40
 START_TIMEOUT_SECONDS = 60.0
 
 
 async def wait_ready(deployment: SoakDeployment) -> None:
-    """Wait until every host says that it is ready."""
+    """Wait until the ready listener of every host answers 200."""
     async with aiohttp.ClientSession() as session, asyncio.timeout(START_TIMEOUT_SECONDS):
         for host in deployment.hosts:
             while True:
@@ -38,13 +41,16 @@
                         if resp.status == 200:
                             break
                 except aiohttp.ClientError:
-                    # Not up yet; the timeout above bounds the wait.
+                    # The host does not listen yet; START_TIMEOUT_SECONDS bounds the wait.
                     pass
                 await asyncio.sleep(0.05)
 
 
 async def inject_faults(deployment: SoakDeployment, plan: Plan, started_at: float) -> None:
-    """Begin each fault at its time; they may overlap. Return when all have ended."""
+    """Start each fault at its time, ``started_at`` being the start of the run in monotonic seconds.
+
+    Faults may overlap. Returns when all have ended and raises the first error of one.
+    """
     tasks = []
     for fault in plan.faults:
         await asyncio.sleep(max(0.0, fault.at - (time.monotonic() - started_at)))
@@ -55,7 +61,7 @@
 
 
 async def run_plan(plan: Plan, hosts: int, folder: Path, beside: Path | None = None) -> list[str]:
-    """Play one plan and return what was promised and not kept."""
+    """Run one plan against new processes and return the violated guarantees, one line each."""
     record, deployment = Record(), SoakDeployment(hosts, folder, beside)
     await deployment.start()
     try:
@@ -84,7 +90,7 @@
 
 
 async def probe(deployment: SoakDeployment, record: Record, started_at: float, seed: int) -> None:
-    """Send requests when all is well again."""
+    """Send requests after all faults have ended, and record them as probes."""
     caller = Caller(CALLER_COUNT, deployment, record, started_at, seed)
     async with aiohttp.ClientSession(auto_decompress=False) as session:
         while len(record.probes) < PROBE_COUNT:
@@ -95,7 +101,7 @@
 
 
 def collect_observations(deployment: SoakDeployment, record: Record, started_at: float) -> None:
-    """Take down what the endpoints saw."""
+    """Copy what the endpoints have recorded into the record of the run."""
     record.crash_times = deployment.crash_times
     record.limited_endpoints = deployment.limited_endpoints
     links = deployment.links | deployment.closed_links
@@ -112,9 +118,9 @@
 def read_endpoint_record(
     runner: RunnerStandin, link: Proxy, draining_from: float, started_at: float
 ) -> EndpointRecord:
-    """Return what an endpoint said and got, in seconds of the run.
+    """Return what an endpoint announced and received, in seconds since the start of the run.
 
-    A wish for rest that was lost on its way is left out: no host knows of it.
+    A backoff is left out if the answer that asked for it was lost on the way, as no host knows it.
     """
     requests = [(at - started_at, name) for at, name in runner.heads]
     backoffs = [
@@ -126,7 +132,7 @@
 
 
 def describe(plan: Plan) -> str:
-    """Return a plan as lines of text."""
+    """Return a plan as text, one line for each fault."""
     rows = [
         f"{f.at:6.2f} s for {f.seconds:.2f} s  {f.kind.name} {f.target_index}" for f in plan.faults
     ]
@@ -135,10 +141,10 @@
 
 @click.command()
 @click.option("--first", default=1, help="First seed.")
-@click.option("--seeds", default=5, help="How many seeds, one after the other.")
-@click.option("--seconds", default=15.0, help="Length of a run's traffic.")
-@click.option("--hosts", default=4, help="Host processes in a run.")
-@click.option("--keep", default="", help="Folder for plans and logs of seeds that fail.")
+@click.option("--seeds", default=5, help="Number of seeds, run one after the other.")
+@click.option("--seconds", default=15.0, help="Seconds of traffic in each run.")
+@click.option("--hosts", default=4, help="Number of host processes in each run.")
+@click.option("--keep", default="", help="Folder that gets the plans and logs of seeds that fail.")
 @click.option(
     "--beside",
     metavar="DIR",
@@ -148,7 +154,7 @@
 def main(
     first: int, seeds: int, seconds: float, hosts: int, keep: str, beside: Path | None
 ) -> None:
-    """Play seeded plans of faults against real processes, and check what callers are promised."""
+    """Run seeded plans of faults against real processes and check the guarantees to callers."""
     logging.disable(logging.CRITICAL)
     failures = 0
     for seed in range(first, first + seeds):
@@ -157,7 +163,7 @@
         try:
             broken = asyncio.run(run_plan(plan, hosts, folder, beside))
         except Exception as exc:
-            # A run that could not be played proves nothing: it counts as failed.
+            # A run that raised an error has checked nothing, so it counts as failed.
             broken = [f"not played: {exc!r}"]
         failures += bool(broken)
         click.echo(f"seed {seed}: {'failed' if broken else 'passed'}")
--- a/extras/soak/callers.py
+++ b/extras/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a run: they ask where to connect, keep connections, and repeat as callers may."""
+"""Simulated callers: they resolve addresses, keep connections open and retry within the rules."""
 
 import asyncio
 import itertools
@@ -10,12 +10,12 @@
 from extras.soak.checks import NOT_RUN, Attempt, Record
 from extras.soak.deployment import POISON_BODY, SoakDeployment
 
-# Seconds for which callers keep an answer to where to connect; some keep it three times as long.
+# Seconds for which a caller caches resolved addresses; every fourth caller uses three times this.
 ADDRESS_TTL_SECONDS = 1.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 REQUEST_TIMEOUT_SECONDS = 7.0
 MEAN_PAUSE_SECONDS = 0.05
-# Mean seconds between two attempts of a caller whose request ends endpoints, and its model.
+# Mean seconds between two attempts of a request that crashes endpoints, and the model it names.
 MEAN_POISON_PAUSE_SECONDS = 0.3
 POISON_MODEL = "m0"
 REPEATABLE_ROUTES = {"recap": True, "once": False, "bind": False, "fetch": True}
@@ -24,7 +24,7 @@
 
 
 class Caller:
-    """One caller; ``began`` is the run's start in monotonic seconds."""
+    """One caller; ``started_at`` is the start of the run in monotonic seconds."""
 
     def __init__(
         self, number: int, deployment: SoakDeployment, record: Record, started_at: float, seed: int
@@ -39,7 +39,7 @@
         self._resolved_at = float("-inf")
 
     async def run(self, until: float) -> None:
-        """Send requests until a moment of the run."""
+        """Send requests until ``until``, in seconds since the start of the run."""
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=5)
         async with aiohttp.ClientSession(connector=connector, auto_decompress=False) as session:
             while self._now() < until:
@@ -47,7 +47,10 @@
                 await asyncio.sleep(MEAN_PAUSE_SECONDS * self._rng.random() * 2)
 
     async def run_poison(self, until: float) -> None:
-        """Send the same request, which ends endpoints, again and again."""
+        """Repeat one request that crashes each endpoint that runs it, until ``until``.
+
+        The attempts are not recorded.
+        """
         async with aiohttp.ClientSession(auto_decompress=False) as session:
             while self._now() < until:
                 await self._attempt(session, "recap", POISON_BODY)
@@ -57,7 +60,7 @@
         return time.monotonic() - self._started_at
 
     async def send(self, session: aiohttp.ClientSession, attempts: list[Attempt]) -> None:
-        """Send one request, and once more where callers may."""
+        """Send one request, with one retry if it is allowed, and append the attempts to a list."""
         route = self._rng.choice([*REPEATABLE_ROUTES, *self._extra_routes()])
         for _ in range(2):
             attempt = await self._attempt(session, route)
--- a/extras/soak/checks.py
+++ b/extras/soak/checks.py
@@ -1,40 +1,46 @@
-"""The promises, checked from what callers and endpoints saw; each says what a user would notice."""
+"""Checks of the guarantees to callers, from the records of callers and endpoints.
+
+The docstring of each check says which violation it reports.
+"""
 
 import math
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-# Statuses that promise that a request has not run and never will.
+# Statuses which guarantee that a request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
-# Share of requests that must be served again when all faults have ended.
+# Share of the probes that must succeed after all faults have ended.
 MIN_RECOVERED_SHARE = 0.9
 SUCCESS = 200
-# Ends of endpoints under one request after which all hosts know it, the seconds that this takes,
-# and the most ends from then on.
+# Crashes of endpoints under one request after which all hosts block it, the seconds until the block
+# is in force on all of them, and the most crashes allowed after that.
 CRASHES_BEFORE_BLOCK = 3
 BLOCK_DELAY_SECONDS = 3.0
 MAX_LATER_CRASHES = 3
-# Seconds after an endpoint first named a limit from which on requests count: hosts that were told
-# later are not held to it.
+# Seconds after the first announcement of a limit from which requests are counted: before that, not
+# every host has received it.
 LIMIT_COUNTED_AFTER_SECONDS = 0.5
-# Seconds after that word from which on the limit binds, those over which requests are counted, and
-# what may come in them: so many times the limit, and so many requests beside.
+# Seconds after the announcement from which the limit is enforced, and the window over which
+# requests are counted. It may hold LIMIT_FACTOR times the limit and LIMIT_EXTRA_REQUESTS more.
 LIMIT_ENFORCED_AFTER_SECONDS = 3.0
 LIMIT_WINDOW_SECONDS = 4.0
 LIMIT_FACTOR = 1.5
 LIMIT_EXTRA_REQUESTS = 5
-# Seconds after an endpoint's word that it leaves in which a host may still send there.
+# Seconds after a host has received the notice of draining in which it may still send requests.
 DRAINING_TOLERANCE_SECONDS = 2.0
-# Seconds after a refusal from which on the rest that it asks for binds, and the most requests from
-# that host in it.
+# Seconds after a refusal from which the backoff that it asks for is enforced, and the most requests
+# that the refused host may send during it.
 BACKOFF_ENFORCED_AFTER_SECONDS = 0.5
 MAX_REQUESTS_IN_BACKOFF = 2
 
 
 @dataclass(frozen=True, slots=True)
 class LimitedEndpoint:
-    """An endpoint that named a limit, requests a second, and when requests came. All in seconds."""
+    """An endpoint that announced a limit, in requests per second, and when it received requests.
+
+    Times are in monotonic seconds.
+    """
 
     rate: float
     announced_at: float
@@ -44,10 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What an endpoint said, and the requests that reached it: times with the ids of attempts.
+    """The requests that reached an endpoint, as times and attempt ids, and what it announced.
 
-    ``leaves_at`` is when it began to say that it leaves, infinite where it does not. ``rests`` are
-    its refusals, each with the seconds of rest that it asked for. All in seconds of the run.
+    ``backoffs`` are its refusals: the time, the attempt id and the seconds of backoff that it asked
+    for. ``draining_from`` is when it started to announce that it drains, infinite if it never does.
+    Times are in seconds since the start of the run.
     """
 
     requests: list[tuple[float, str]]
@@ -57,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt of a caller. ``status`` is 0 where the connection ended without a head.
+    """One attempt of a caller. ``status`` is 0 if the connection ended before a response head.
 
-    ``whole`` tells that the answer ended as it should. ``began`` and ``ended`` are seconds of the
-    run; ``life`` names the process that took it.
+    ``complete`` is true if the response ended properly. Times are in seconds since the start of the
+    run. ``incarnation`` names the host process that received the attempt.
     """
 
     id: str
@@ -77,7 +84,10 @@
 
 @dataclass
 class Record:
-    """All that a run's callers and endpoints saw. ``ran`` are the ids of what endpoints ran."""
+    """What the callers and endpoints of a run have recorded.
+
+    ``ran`` holds the ids of the attempts that endpoints ran.
+    """
 
     attempts: list[Attempt] = field(default_factory=list)
     ran: list[str] = field(default_factory=list)
@@ -90,22 +100,25 @@
 
 
 def check_answers(record: Record, event_count: int) -> Iterable[str]:
-    """A caller got another's answer, a part of one that looks whole, or events out of order."""
+    """A caller got another caller's answer, a partial one as complete, or wrong events.
+
+    Events are wrong if one is missing, repeated or out of order.
+    """
     for attempt in record.attempts:
         if attempt.status != 200 or not attempt.complete:
             continue
         if not attempt.signature:
-            yield f"{attempt.id}: a success without the endpoint's receipt"
+            yield f"{attempt.id}: a success without the signature of the endpoint"
         if attempt.route in ("recap", "once"):
             ids = [int(row[4:]) for row in attempt.body.split(b"\n") if row.startswith(b"id: ")]
             if ids != list(range(1, event_count + 1)):
-                yield f"{attempt.id}: a stream that ended whole has the events {ids}"
+                yield f"{attempt.id}: a complete stream has the events {ids}"
         elif attempt.body != b"whole answer":
-            yield f"{attempt.id}: {attempt.body!r} in place of the whole answer"
+            yield f"{attempt.id}: {attempt.body!r} instead of the complete answer"
 
 
 def check_at_most_once(record: Record) -> Iterable[str]:
-    """Something that must run at most once ran twice: two policies are bound."""
+    """A request that must run at most once ran twice: two policies are bound, for example."""
     counted = Counter(record.ran)
     for attempt in record.attempts:
         if not attempt.repeatable and counted[attempt.id] > 1:
@@ -113,22 +126,22 @@
 
 
 def check_refusals(record: Record) -> Iterable[str]:
-    """A caller was told that a request had not run, and it had."""
+    """A caller got a status which guarantees that the request has not run, but it has."""
     ran = set(record.ran)
     for attempt in record.attempts:
         if attempt.status in NOT_RUN and not attempt.repeatable and attempt.id in ran:
-            yield f"{attempt.id}: answered {attempt.status} and ran"
+            yield f"{attempt.id}: got status {attempt.status} and ran"
 
 
 def check_orders(record: Record, max_models: int) -> Iterable[str]:
-    """Two hosts ordered an engine under one term, terms went back, or it was overfilled."""
+    """An engine got orders of two hosts for one term, a lower term, or too many models."""
     for engine, rows in record.orders.items():
         holders: dict[int, str] = {}
         newest = 0
         for row in rows:
             term, holder = row["fencing_token"], row["holder"]
             if holders.setdefault(term, holder) != holder:
-                yield f"{engine}: term {term} of both {holders[term]} and {holder}"
+                yield f"{engine}: term {term} used by both {holders[term]} and {holder}"
             if term < newest:
                 yield f"{engine}: term {term} after {newest}"
             newest = max(newest, term)
@@ -138,18 +151,18 @@
 
 
 def check_config(record: Record) -> Iterable[str]:
-    """A host served a new route and later didn't know it any more."""
+    """A host process answered 404 for a route that it had served before."""
     seen: dict[tuple[str, str], float] = {}
     for attempt in sorted(record.attempts, key=lambda row: row.started_at):
         key = attempt.incarnation, attempt.route
         if attempt.status == 200:
             seen.setdefault(key, attempt.ended_at)
         elif attempt.status == 404 and seen.get(key, attempt.started_at) < attempt.started_at:
-            yield f"{attempt.id}: {attempt.incarnation} no longer knows {attempt.route}"
+            yield f"{attempt.id}: {attempt.incarnation} answered 404 for its route {attempt.route}"
 
 
 def check_planned(record: Record) -> Iterable[str]:
-    """A planned stop, reload or change cut off a request that was under way."""
+    """A planned stop, reload or change cut off a request that an endpoint was running."""
     ran = set(record.ran)
     for attempt in record.attempts:
         cut = attempt.status == 0 or (attempt.status == 200 and not attempt.complete)
@@ -158,7 +171,7 @@
 
 
 def check_recovery(record: Record) -> Iterable[str]:
-    """All faults have ended, and callers are still not served."""
+    """Too many requests still fail after all faults have ended."""
     served = sum(1 for probe in record.probes if probe.status == 200 and probe.complete)
     if served < MIN_RECOVERED_SHARE * len(record.probes):
         statuses = Counter(probe.status for probe in record.probes)
@@ -166,7 +179,7 @@
 
 
 def check_poison(record: Record) -> Iterable[str]:
-    """A request under which three endpoints had ended went on to others: all streams break off."""
+    """A request that had crashed three endpoints was sent to more, which cuts off their streams."""
     crash_times = sorted(record.crash_times)
     later = [
         at
@@ -175,13 +188,13 @@
     ]
     if len(later) > MAX_LATER_CRASHES:
         yield (
-            f"{len(later)} of {len(crash_times)} endpoints ended"
+            f"{len(later)} of {len(crash_times)} crashes came more than"
             f" {BLOCK_DELAY_SECONDS} s after the third"
         )
 
 
 def check_limits(record: Record) -> Iterable[str]:
-    """An endpoint in need got more from all hosts together than it had said that it takes."""
+    """An endpoint got more requests from all hosts together than the limit that it announced."""
     for row in record.limited_endpoints:
         allowed = LIMIT_FACTOR * LIMIT_WINDOW_SECONDS * row.rate + LIMIT_EXTRA_REQUESTS
         times = [
@@ -197,7 +210,7 @@
 
 
 def check_draining(record: Record) -> Iterable[str]:
-    """A host sent a request to an endpoint that had told it that it leaves."""
+    """A host sent a request to an endpoint that had announced to it that it drains."""
     attempts = {attempt.id: attempt for attempt in record.attempts}
     for row in record.endpoint_records:
         informed_at: dict[str, float] = {}
@@ -208,15 +221,15 @@
             last = informed_at.get(attempt.incarnation, math.inf)
             if attempt.started_at > last + DRAINING_TOLERANCE_SECONDS:
                 yield (
-                    f"{name}: {attempt.incarnation} was told"
-                    f" {attempt.started_at - last:.2f} s before"
+                    f"{name}: {attempt.incarnation} had received the notice of"
+                    f" draining {attempt.started_at - last:.2f} s before"
                 )
             if attempt.started_at >= row.draining_from and attempt.status == SUCCESS:
                 informed_at[attempt.incarnation] = min(last, attempt.ended_at)
 
 
 def check_backoffs(record: Record) -> Iterable[str]:
-    """A host went on sending to an endpoint that had asked it for a rest."""
+    """A host sent too many requests to an endpoint during the backoff that it had asked for."""
     incarnations = {attempt.id: attempt.incarnation for attempt in record.attempts}
     for row in record.endpoint_records:
         for at, name, seconds in row.backoffs:
@@ -227,14 +240,14 @@
             if incarnation is not None and count > MAX_REQUESTS_IN_BACKOFF:
                 yield (
                     f"{incarnation} sent {count} requests"
-                    f" in a rest of {seconds} s from {at:.2f} s on"
+                    f" in a backoff of {seconds} s from {at:.2f} s on"
                 )
 
 
 def find_violations(
     record: Record, planned: bool, event_count: int, max_models: int
 ) -> Sequence[str]:
-    """Return what was promised and not kept."""
+    """Return the violated guarantees, one line each; ``planned`` is true for planned work alone."""
     found = [
         *check_answers(record, event_count),
         *check_at_most_once(record),
--- a/extras/soak/deployment.py
+++ b/extras/soak/deployment.py
@@ -1,4 +1,7 @@
-"""A deployment for one run: hosts as processes, store and endpoints as stand-ins behind proxies."""
+"""The deployment of one soak run: host processes, with stand-ins for store and endpoints.
+
+The hosts reach the stand-ins through proxies that inject network faults.
+"""
 
 import asyncio
 import json
@@ -21,21 +24,21 @@
 ROOT = Path(__file__).resolve().parents[2]
 ENGINES = 3
 PAGES = 3
-# Models that fit on an engine of the stand-ins' configuration: 60 of 200 MB each.
+# Models that fit on an engine of the configuration: each uses 60 of 200 MB.
 MODELS_FIT = 3
 EVENT_SECONDS = 0.03
 PAGE_SECONDS = 0.02
-# Seconds that an endpoint serves on after it said that it is leaving.
+# Half of the seconds for which a draining endpoint still serves.
 DRAIN_SECONDS = 2.0
 STOP_SECONDS = 3
-# A body that ends each endpoint that begins to run its request, and the seconds until another
-# endpoint has taken its place.
+# The body of a request that crashes each endpoint that starts to run it, and the seconds until
+# another endpoint replaces a crashed one.
 POISON_BODY = b"a request that no endpoint survives"
 REPLACEMENT_SECONDS = 1.0
-# Requests a second that an engine and a plain service's endpoint in need say they take.
+# Limits, in requests per second, that an engine and an endpoint of a plain service announce.
 ENGINE_LIMIT_PER_SECOND = 1.0
 PAGE_LIMIT_PER_SECOND = 2.0
-# Seconds of rest that endpoints in need ask for, and between two refusals.
+# Seconds of backoff that a refusing endpoint asks for, and seconds between two refusals.
 BACKOFF_SECONDS = 1.5
 REFUSAL_INTERVAL_SECONDS = 0.7
 BOUNDS = {
@@ -53,7 +56,7 @@
 
 
 class HostProcess:
-    """One host: a process, started again on the same ports. ``life`` names each start."""
+    """The process of one host, restarted on the same ports; it runs the code of ``checkout``."""
 
     def __init__(self, name: str, folder: Path, checkout: Path = ROOT):
         self.name = name
@@ -68,15 +71,15 @@
 
     @property
     def incarnation(self) -> str:
-        """Name the process that runs now."""
+        """Return a name of the current process that differs from those of earlier starts."""
         return f"{self.name}-{self.starts}"
 
     def address(self, listener: str) -> str:
-        """Return IP:PORT of one of the host's doors."""
+        """Return the address of a listener of the host, as IP:PORT."""
         return f"127.0.0.1:{self.ports[listener]}"
 
     def write_settings(self, store: str, seeds: list[str]) -> None:
-        """Write the settings file that the process reads at each start."""
+        """Write the settings file, which the process reads at each start."""
         rows = [f'node_name = "{self.name}"', 'ip = "127.0.0.1"', 'zone = "north"']
         rows += ["inner_ports = [1, 0]", f"seeds = {json.dumps(seeds)}", "[listen]"]
         rows += [f'{listener} = "{self.address(listener)}"' for listener in self.ports]
@@ -85,13 +88,13 @@
         self._settings.write_text("\n".join(rows) + "\n")
 
     def start(self) -> None:
-        """Start the process."""
+        """Start the process; its output is appended to the log file of the host."""
         self.starts += 1
         with self._log.open("ab") as log:
             self._child = subprocess.Popen(stdout=log, stderr=log, **self.command())
 
     def command(self) -> dict[str, Any]:
-        """Return the arguments, environment and folder of the process, as Popen takes them."""
+        """Return the command, environment and working directory as keyword arguments of Popen."""
         root, settings = str(self._checkout), str(self._settings)
         return {
             "args": [sys.executable, "-m", "peridotdock.cli.relay"],
@@ -100,12 +103,12 @@
         }
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process, if it runs."""
+        """Send a signal to the process, if it is running."""
         if self._child is not None and self._child.poll() is None:
             self._child.send_signal(number)
 
     async def wait(self, seconds: float) -> None:
-        """Wait for the process to end; it is killed when it does not."""
+        """Wait for the process to end, and kill it if it has not ended within ``seconds``."""
         for _ in range(int(seconds / 0.05)):
             if self._child.poll() is not None:
                 return
@@ -115,7 +118,10 @@
 
 
 class SoakDeployment:
-    """All parts of a run. Hosts of odd number run from the checkout ``beside`` if it is given."""
+    """All processes and stand-ins of a run, and the faults that can be injected into them.
+
+    Hosts of odd number run the code of the checkout ``beside`` if it is given.
+    """
 
     def __init__(self, hosts: int, folder: Path, beside: Path | None = None):
         checkouts = (ROOT, beside or ROOT)
@@ -135,7 +141,7 @@
         self._numbers = iter(range(1, 10_000))
 
     async def start(self) -> None:
-        """Start everything, and wait until each host is ready."""
+        """Start the stand-ins and the host processes, without waiting until hosts are ready."""
         self.store = await TableStandin().start()
         self.store_link = await Proxy(self.store.address).start()
         for number in range(ENGINES):
@@ -149,7 +155,7 @@
             host.start()
 
     async def stop(self) -> None:
-        """End what this run has started."""
+        """Kill the host processes and stop the stand-ins and proxies."""
         for task in self._replacing:
             task.cancel()
         for host in self.hosts:
@@ -174,13 +180,13 @@
         runner.on_change()
 
     async def announce_draining(self) -> None:
-        """Let an engine and a plain service's endpoint say in answers alone that they leave."""
+        """Let an engine and an endpoint of a plain service announce draining in answers alone."""
         for runner in (self.engines[1], self.pages[1]):
             runner.says = {"server-leaving": "1"}
             self.draining_from[runner.name] = time.monotonic()
 
     async def refuse_requests(self, seconds: float) -> None:
-        """Let an engine and a plain service's endpoint turn requests away and ask for a rest."""
+        """Let an engine and an endpoint of a plain service refuse requests with a backoff."""
         until = time.monotonic() + seconds
         rows = (self.engines[2], self.pages[2])
         while time.monotonic() < until:
@@ -190,7 +196,7 @@
             await asyncio.sleep(REFUSAL_INTERVAL_SECONDS)
 
     async def announce_limits(self, seconds: float) -> None:
-        """Let an engine and a plain service's endpoint name a limit for some seconds."""
+        """Let an engine and an endpoint of a plain service announce a limit for some seconds."""
         announced_at = time.monotonic()
         rows = [(self.engines[0], ENGINE_LIMIT_PER_SECOND), (self.pages[0], PAGE_LIMIT_PER_SECOND)]
         for runner, rate in rows:
@@ -203,10 +209,10 @@
             )
 
     def _on_crash(self, runner: RunnerStandin) -> None:
-        """Note that a request has ended an endpoint, and let another one take its place."""
+        """Record that a request has crashed an endpoint, and start to replace the endpoint."""
         self.crash_times.append(time.monotonic())
         if runner not in (*self.engines, *self.pages):
-            # It was leaving, and has been replaced already.
+            # The endpoint was draining and has been replaced already.
             return
         task = asyncio.ensure_future(self._crash(runner, REPLACEMENT_SECONDS))
         self._replacing.add(task)
@@ -224,7 +230,10 @@
     # Faults
 
     async def inject(self, fault: Fault) -> None:
-        """Carry out one fault to its end; what it hits is left to one fault at a time."""
+        """Inject one fault and return when it has ended.
+
+        A fault is skipped while another one affects the same target.
+        """
         name, pool = fault.kind.name, self._pool(fault.kind.target)
         target = pool[fault.target_index % len(pool)]
         target_id = f"{fault.kind.target} {fault.target_index % len(pool)}"
@@ -272,7 +281,7 @@
         self._write_config()
 
     async def _leave(self, runner: RunnerStandin, seconds: float) -> None:
-        """Replace an endpoint: the new one first, then the old one says so, serves on, and ends."""
+        """Replace an endpoint: start the new one, then drain the old one and stop it."""
         engines = runner in self.engines
         service = "engines" if engines else "pages"
         await self._add_runner(service, tuple(runner.models))
@@ -284,9 +293,9 @@
         await self._stop_runner(runner)
 
     async def _crash(self, runner: RunnerStandin, seconds: float) -> None:
-        """End an endpoint without a word; its entry goes later, and another comes empty."""
+        """Stop an endpoint without draining; later remove its entry and start an empty endpoint."""
         if runner not in (*self.engines, *self.pages):
-            # What it was to be hit by has come too late: a request has ended it.
+            # A request has crashed the endpoint before this fault reached it.
             return
         engines = runner in self.engines
         (self.engines if engines else self.pages).remove(runner)
--- a/extras/soak/plan.py
+++ b/extras/soak/plan.py
@@ -1,27 +1,26 @@
-"""What goes wrong in a run, drawn from its seed: the same seed gives the same plan."""
+"""Fault plans, drawn from a seed: the same seed always gives the same plan."""
 
 import random
 from dataclasses import dataclass
 
-# Seconds from the start of traffic before the first fault, and from the last one's end to the end
-# of the run: hosts find each other, and come back, within this.
-MARGIN_SECONDS = 2.0
-# Mean seconds between the beginnings of two faults; they last for up to three, so they overlap.
+# Seconds of traffic before the first fault, in which the hosts find each other.
+FIRST_FAULT_SECONDS = 2.0
+# Mean seconds between the starts of two faults. A fault lasts for up to 3 s, so faults overlap.
 MEAN_INTERVAL_SECONDS = 1.2
 MAX_FAULT_SECONDS = 3.0
 MIN_FAULT_SECONDS = 0.4
-# One seed in so many has planned work alone: no request may be lost around it.
+# One seed in this many has planned work alone, which may not cut off any request.
 PLANNED_EVERY = 5
-# One seed in so many has a caller whose request ends each endpoint that begins it. It isn't drawn
-# with the faults, so that plans of older seeds stay as they were.
+# One seed in this many has callers that repeat a request which crashes each endpoint that runs it.
+# It follows from the seed instead of a random draw, so that the plans of older seeds don't change.
 POISON_EVERY = 4
-# One seed in so many has endpoints in need, which say so in their answers.
+# One seed in this many has endpoints that announce limits, backoffs and draining in their answers.
 OVERLOADED_EVERY = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of fault: what it hits, whether it is planned work, and how often it is drawn."""
+    """A kind of fault, what it targets, and its weight in the random draw."""
 
     name: str
     target: str
@@ -54,7 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: ``at`` and ``seconds`` in seconds of the run, ``target`` a place in its list."""
+    """One fault: its start in seconds of the run, its length in seconds, and its target.
+
+    ``target_index`` is taken modulo the number of possible targets.
+    """
 
     at: float
     seconds: float
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All faults of a run, in the order of their beginnings."""
+    """All faults of a run, sorted by their start."""
 
     seed: int
     seconds: float
@@ -72,27 +74,27 @@
 
     @property
     def maintenance_only(self) -> bool:
-        """Tell whether all that happens is planned work."""
+        """Return whether the plan holds planned work alone."""
         return self.seed % PLANNED_EVERY == 0
 
     @property
     def poisoned(self) -> bool:
-        """Tell whether a caller repeats a request that ends endpoints."""
+        """Return whether callers repeat a request that crashes endpoints."""
         return not self.maintenance_only and self.seed % POISON_EVERY == POISON_EVERY - 1
 
     @property
     def overloaded(self) -> bool:
-        """Tell whether endpoints say in their answers that they are in need."""
+        """Return whether endpoints announce limits, backoffs and draining in their answers."""
         return self.seed % OVERLOADED_EVERY == 1
 
 
 def draw_plan(seed: int, seconds: float) -> Plan:
-    """Draw a run's plan; targets are taken modulo the number of what they hit."""
+    """Draw the plan of a run with ``seconds`` of traffic."""
     rng = random.Random(seed)
     kinds = [kind for kind in KINDS if kind.planned or seed % PLANNED_EVERY]
     weights = [kind.weight for kind in kinds]
     faults = []
-    at = MARGIN_SECONDS
+    at = FIRST_FAULT_SECONDS
     while at < seconds - MAX_FAULT_SECONDS:
         lasts = rng.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS)
         kind = rng.choices(kinds, weights)[0]
--- a/extras/soak/proxy.py
+++ b/extras/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback TCP proxy that injects network faults."""
 
 import asyncio
 import contextlib
@@ -7,18 +7,18 @@
 
 DELAY_SECONDS = 0.15
 READ_BYTES = 65536
-# Seconds that an answer may take from the target's write to here.
+# Longest time, in seconds, from the write of an answer by the target to its arrival at the proxy.
 TRANSIT_SECONDS = 0.1
-# Closing with this option and unread bytes sends a reset in place of an end.
+# SO_LINGER with a time of 0: closing the socket sends RST instead of FIN.
 RESET = struct.pack("ii", 1, 0)
 
 
 class Proxy:
-    """Listens on loopback for one address; ``mode`` is a word of :attr:`MODES`.
+    """Forwards connections to one target; ``mode`` is one of :attr:`MODES`.
 
-    ``delay`` holds each piece back, ``silence`` takes bytes and passes none on, ``one_way`` does so
-    with answers alone. Silent connections stay silent when the mode ends, as if something on the
-    way had lost track of them, while new ones work.
+    ``delay`` holds each chunk back for DELAY_SECONDS, ``silence`` reads bytes and drops them, and
+    ``one_way`` drops answers alone. A connection that has dropped bytes stays silent when the mode
+    ends, as if a device on the way had lost its state; new connections work.
     """
 
     MODES = ("pass", "delay", "silence", "one_way")
@@ -32,28 +32,28 @@
         self.mode = "pass"
 
     def lost(self, port: int, at: float) -> bool:
-        """Tell whether an answer that the target wrote then was not passed on.
+        """Return whether the proxy dropped an answer that the target wrote at a time of the loop.
 
-        ``port`` is the one at this end of its connection, ``at`` a time of the loop.
+        ``port`` is the proxy's port of the connection to the target.
         """
         since = self._silent_since.get(port)
         return since is not None and at >= since - TRANSIT_SECONDS
 
     async def start(self) -> "Proxy":
-        """Listen on a free port."""
+        """Listen on a free port and set ``address`` to it, as IP:PORT."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
         return self
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self._server.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def reset(self) -> None:
-        """Reset all connections that are open now."""
+        """Reset all open connections."""
         for writer in list(self._writers):
             sock = writer.get_extra_info("socket")
             with contextlib.suppress(OSError):
@@ -71,7 +71,7 @@
             port = back.get_extra_info("sockname")[1]
             await asyncio.gather(self._copy(reader, back), self._copy(there, writer, port))
         except OSError:
-            # The other end is gone or was reset: this end is told so by the close below.
+            # The other end was closed or reset; closing both ends below passes this on.
             pass
         finally:
             self._tasks.discard(task)
@@ -82,7 +82,7 @@
     async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, port: int | None = None
     ) -> None:
-        """Pass bytes on; ``port`` is given where they are answers."""
+        """Copy bytes to the writer; ``port`` is given for the direction of answers alone."""
         silent, answers = False, port is not None
         while part := await reader.read(READ_BYTES):
             silent = silent or self.mode == "silence" or (self.mode == "one_way" and answers)
--- a/extras/write_docs.py
+++ b/extras/write_docs.py
@@ -1,4 +1,4 @@
-"""Write the operators' pages that come from tables in the code: settings and error kinds."""
+"""Generates the pages for operators from the code: settings and error kinds."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def write_errors() -> str:
-    """Return the page of error kinds."""
+    """Return the page of error kinds as Markdown."""
     lines = ["# Error kinds", "", "Made from `peridotdock/errors.py`.", ""]
     lines += ["| kind | status | ran | meaning | what to do |", "|---|---|---|---|---|"]
     for kind, answer in ANSWERS.items():
@@ -20,7 +20,7 @@
 
 
 def write_settings() -> str:
-    """Return the page of settings."""
+    """Return the page of settings as Markdown."""
     lines = ["# Settings", "", "Made from `peridotdock/schema/settings.json`.", ""]
     lines += ["| flag | variable | default | meaning |", "|---|---|---|---|"]
     for name, rule in load_schema("settings")["properties"].items():
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its plans, its checks against planted faults, and one short run."""
+"""Tests of the soak: its plans, its checks on records with known violations, and short runs."""
 
 import asyncio
 import contextlib
@@ -38,9 +38,9 @@
 
 class ChecksTest(unittest.TestCase):
     @params(
-        ("all well", record(PAGE, BIND, RECAP, ran=["a", "b", "c"], orders=[ORDER]), False),
+        ("no violation", record(PAGE, BIND, RECAP, ran=["a", "b", "c"], orders=[ORDER]), False),
         ("a page cut short", record(replace(PAGE, body=b"whole")), True),
-        ("cut, and it shows", record(replace(PAGE, body=b"whole", complete=False)), False),
+        ("cut short and visibly so", record(replace(PAGE, body=b"whole", complete=False)), False),
         ("no receipt", record(replace(PAGE, signature="")), True),
         ("an event twice", record(replace(RECAP, body=STREAM + STREAM)), True),
         ("an event left out", record(replace(RECAP, body=STREAM[14:])), True),
@@ -49,7 +49,7 @@
         ("refused and ran", record(replace(BIND, status=503), ran=["b"]), True),
         ("failed and ran", record(replace(BIND, status=502), ran=["b"]), False),
         ("one term, two holders", record(orders=[ORDER, ORDER | {"holder": "h1"}]), True),
-        ("a term goes back", record(orders=[ORDER | {"fencing_token": 2}, ORDER]), True),
+        ("a lower term", record(orders=[ORDER | {"fencing_token": 2}, ORDER]), True),
         ("too many models", record(held=4), True),
         (
             "a route is forgotten",
@@ -62,11 +62,11 @@
             False,
         ),
         (
-            "a request that ends endpoints is known",
+            "a request that crashes endpoints is blocked",
             replace(record(), crash_times=[1, 2, 3, 6, 7, 8]),
             False,
         ),
-        ("and goes on", replace(record(), crash_times=[1, 2, 3, 7, 8, 9, 10]), True),
+        ("it is not blocked", replace(record(), crash_times=[1, 2, 3, 7, 8, 9, 10]), True),
         (
             "an endpoint gets no more than its limit",
             replace(
@@ -78,7 +78,7 @@
             False,
         ),
         (
-            "what came before any host was told does not count",
+            "requests before any host knew the limit are not counted",
             replace(
                 record(),
                 limited_endpoints=[LimitedEndpoint(1.0, 0.0, 9.0, [0.4] * 9 + [3.2, 3.3, 3.4])],
@@ -86,7 +86,7 @@
             False,
         ),
         (
-            "and gets more",
+            "an endpoint gets more than its limit",
             replace(
                 record(),
                 limited_endpoints=[
@@ -96,14 +96,14 @@
             True,
         ),
         (
-            "an endpoint that leaves gets nothing of who was told",
+            "a draining endpoint gets nothing from informed hosts",
             replace(
                 record(PAGE), endpoint_records=[EndpointRecord([(1.0, "a"), (3.0, "z")], [], 0.5)]
             ),
             False,
         ),
         (
-            "and gets more",
+            "a draining endpoint gets more",
             replace(
                 record(PAGE, replace(PAGE, id="d", started_at=3.2)),
                 endpoint_records=[EndpointRecord([(1.0, "a"), (3.2, "d")], [], 0.5)],
@@ -111,14 +111,14 @@
             True,
         ),
         (
-            "an endpoint gets its rest",
+            "a backoff is respected",
             replace(
                 record(PAGE), endpoint_records=[EndpointRecord([(1.0, "a")] * 3, [(1.0, "a", 3.0)])]
             ),
             False,
         ),
         (
-            "and does not",
+            "a backoff is ignored",
             replace(
                 record(PAGE), endpoint_records=[EndpointRecord([(2.0, "a")] * 3, [(1.0, "a", 3.0)])]
             ),
@@ -130,8 +130,8 @@
         self.assertEqual(broken, bool(find_violations(found, False, EVENTS, 3)), name)
 
     @params(
-        ("was under way", replace(PAGE, status=0), ["a"], True),
-        ("had not begun", replace(PAGE, status=0), [], False),
+        ("the request had started", replace(PAGE, status=0), ["a"], True),
+        ("the request had not started", replace(PAGE, status=0), [], False),
     )
     def test_planned_work_cuts_nothing_off(self, name, attempt, ran, broken):
         found = record(attempt, ran=ran)
@@ -211,22 +211,23 @@
 class RunTest(unittest.TestCase):
     @params(2, 3, 4, 5)
     def test_a_short_run_keeps_every_promise(self, seed):
-        """Real processes are stopped, killed, paused and cut off; callers see no broken promise."""
+        """A guarantee to callers fails while hosts are stopped, killed, paused or cut off."""
         with tempfile.TemporaryDirectory() as folder:
             self.assertEqual([], asyncio.run(run_plan(draw_plan(seed, 6.0), 3, Path(folder))))
 
     @params(
-        # A request that many repeat was blocked with the one that ends endpoints: 6 of 40 refused.
+        # A request that many callers repeat was blocked along with the one that crashes endpoints:
+        # 6 of 40 probes were refused.
         (7307, 15.0, 4),
-        # A host that stopped waited for an engine's rest to end, and cut its answer off.
+        # A stopping host waited for the end of the backoff of an engine, and cut off its answer.
         (9115, 15.0, 4),
-        # The check counted requests of hosts that an endpoint had not told of its limit yet.
+        # The check counted requests of hosts that had not received the announcement of a limit yet.
         (9133, 15.0, 4),
-        # The check counted wishes for rest that were lost on their way to the hosts.
+        # The check counted backoffs whose answers were lost on the way to the hosts.
         (9208, 15.0, 4),
     )
     def test_a_seed_that_once_failed_keeps_every_promise(self, seed, seconds, hosts):
-        """Each seed on which the soak has found a fault, as it was played then."""
+        """Reruns each seed on which the soak has found a fault, with the settings of that run."""
         with tempfile.TemporaryDirectory() as folder:
             self.assertEqual(
                 [], asyncio.run(run_plan(draw_plan(seed, seconds), hosts, Path(folder)))
