--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -164,7 +164,7 @@
             broken = asyncio.run(run_plan(plan, hosts, folder, beside))
         except Exception as exc:
             # A run that raised an error has checked nothing, so it counts as failed.
-            broken = [f"not played: {exc!r}"]
+            broken = [f"not run: {exc!r}"]
         failures += bool(broken)
         click.echo(f"seed {seed}: {'failed' if broken else 'passed'}")
         for line in broken:
