--- a/extras/ablation.py
+++ b/extras/ablation.py
@@ -1,10 +1,10 @@
-"""Switch each mechanism off, one at a time, and see what it is worth on played days.
+"""Ablation study: disable one mechanism at a time and measure the effect on simulated days.
 
-Each mechanism is a patch on a scratch copy of the tree, so that no switch is left in the product.
-``--play`` is the command that plays one day in such a copy, with ``{day}`` and ``{seed}`` where
-they belong; it prints ``worth N``. One JSON line a mechanism tells the worth of each day, their
-mean, and what was lost against the tree as it is. A difference within what one change of course
-makes on a day says nothing: play several days and seeds.
+Each mechanism is disabled by a patch to a scratch copy of the tree, so the product needs no switch.
+``--play`` is the command that simulates one day in a copy; it contains ``{day}`` and ``{seed}``
+and prints ``worth N``. One JSON line for each mechanism holds the worth of each day, their mean and
+the loss against the unchanged tree. A difference within the variation of single days is not
+significant: use several days and seeds.
 """
 
 import argparse
@@ -21,13 +21,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-WORTH = re.compile(r"^worth (\d+\.\d+)", re.MULTILINE)
-PLAY_SECONDS = 1200
+WORTH_PATTERN = re.compile(r"^worth (\d+\.\d+)", re.MULTILINE)
+PLAY_TIMEOUT_SECONDS = 1200
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """A mechanism: where it stands, and what stands there without it."""
+    """A mechanism: the source text in a file of ``peridotdock``, and the text that disables it."""
 
     name: str
     file: str
@@ -36,11 +36,16 @@
 
 
 MECHANISMS = (
-    Mechanism("kept prompt parts", "relay/fleet.py", "state.cached(wish) if wish else 0", "0"),
+    Mechanism(
+        "kept prompt parts",
+        "relay/fleet.py",
+        "state.cached_tokens(inference) if inference else 0",
+        "0",
+    ),
     Mechanism(
         "one endpoint preferred by all hosts for a shared part",
         "relay/fleet.py",
-        "if wish is None or len(wish.parts) < 2 or not states:",
+        "if inference is None or len(inference.parts) < 2 or not states:",
         "if True:",
     ),
     Mechanism(
@@ -59,114 +64,112 @@
     Mechanism(
         "other hosts' work",
         "relay/fleet.py",
-        "state.others = loads.get(key, NO_LOAD)",
-        "state.others = NO_LOAD",
+        "state.remote_load = loads.get(key, NO_LOAD)",
+        "state.remote_load = NO_LOAD",
     ),
     Mechanism(
         "prompts paced by the hub",
         "relay/choosing.py",
-        "if ask.head.wish is None or not candidates:",
+        "if req.head.inference is None or not accepting:",
         "if True:",
     ),
-    Mechanism("a pace that grows", "decisions/pacing.py", "MOST_FACTOR = 4.0", "MOST_FACTOR = 1.0"),
+    Mechanism("a pace that grows", "decisions/pacing.py", "MAX_FACTOR = 4.0", "MAX_FACTOR = 1.0"),
     Mechanism(
         "late prompts behind others",
         "decisions/pacing.py",
-        "return now > ask.send_by, ask.rank, ask.send_by",
-        "return ask.rank, ask.send_by",
+        "return now > prompt.send_by, prompt.rank, prompt.send_by",
+        "return prompt.rank, prompt.send_by",
     ),
     Mechanism(
         "too long a wait refused",
         "decisions/admission.py",
-        "return Crowd(found.seconds, allowed) if found.seconds > allowed else None",
+        "return ExcessiveWait(found.seconds, allowed) if found.seconds > allowed else None",
         "return None",
     ),
     Mechanism(
         "engine priority by rank",
         "relay/service.py",
-        "return min(9, 2 + 2 * ask.rank + slow)",
+        "return min(9, 2 + 2 * req.rank + slow)",
         "return 5 + 0 * slow",
     ),
     Mechanism(
         "patience before another endpoint",
         "relay/service.py",
-        "return PATIENCE_SECONDS + PATIENCE_FACTOR * predicted",
-        "return ask.route.timeout",
+        "return FIRST_EVENT_TIMEOUT_SECONDS + FIRST_EVENT_TIMEOUT_FACTOR * predicted",
+        "return req.route.timeout",
     ),
     Mechanism(
         "silent streams taken up elsewhere",
         "relay/streaming.py",
-        "silent = left > SILENCE_SECONDS",
+        "silent = remaining > SILENCE_SECONDS",
         "silent = False",
     ),
-    Mechanism(
-        "refused sends repeated", "relay/service.py", "MOST_REFUSALS = 2", "MOST_REFUSALS = 0"
-    ),
+    Mechanism("refused sends repeated", "relay/service.py", "MAX_REFUSALS = 2", "MAX_REFUSALS = 0"),
     Mechanism(
         "a pause before refused sends",
-        "relay/choosing.py",
-        "await asyncio.wait({caller.left}, timeout=seconds)",
-        "await asyncio.wait({caller.left}, timeout=0)",
+        "relay/waits.py",
+        "await asyncio.wait({caller.disconnected}, timeout=seconds)",
+        "await asyncio.wait({caller.disconnected}, timeout=0)",
     ),
     Mechanism(
         "further copies by demand",
         "decisions/copies.py",
-        "return max(2, 1 + int(rate / COPY_DEMAND), by_places)",
-        "return max(2, by_places)",
+        "return max(2, 1 + int(rate / COPY_DEMAND), by_adapter_slots)",
+        "return max(2, by_adapter_slots)",
     ),
     Mechanism(
         "a spare copy",
         "decisions/copies.py",
-        "return max(2, 1 + int(rate / COPY_DEMAND), by_places)",
-        "return max(1 + int(rate / COPY_DEMAND), by_places)",
+        "return max(2, 1 + int(rate / COPY_DEMAND), by_adapter_slots)",
+        "return max(1 + int(rate / COPY_DEMAND), by_adapter_slots)",
     ),
     Mechanism(
         "copies by adapters' places",
         "decisions/copies.py",
-        "return max(2, 1 + int(rate / COPY_DEMAND), by_places)",
+        "return max(2, 1 + int(rate / COPY_DEMAND), by_adapter_slots)",
         "return max(2, 1 + int(rate / COPY_DEMAND))",
     ),
     Mechanism(
         "free adapter places filled",
         "decisions/adapters.py",
-        "if rate_of(draft, model.name) < SPARE_COPY_DEMAND:",
+        "if peak_demand(draft, model.name) < SPARE_COPY_DEMAND:",
         "if True:",
     ),
     Mechanism(
         "what runs known to placement",
-        "relay/node.py",
+        "relay/host.py",
         "peers.down(), peers.running())",
         "peers.down(), {})",
     ),
     Mechanism(
         "weights at hand cheaper to drop",
         "decisions/eviction.py",
-        "WARM_COPY_WORTH = 0.2",
-        "WARM_COPY_WORTH = 1.0",
+        "CACHED_LAST_COPY_VALUE = 0.2",
+        "CACHED_LAST_COPY_VALUE = 1.0",
     ),
     Mechanism(
         "peaks of late remembered",
         "decisions/eviction.py",
-        "REMEMBERED_SHARE = 0.1",
-        "REMEMBERED_SHARE = 0.0",
+        "PEAK_WEIGHT = 0.1",
+        "PEAK_WEIGHT = 0.0",
     ),
     Mechanism(
         "the lease's renewals told",
-        "relay/node.py",
-        "self.leadership.on_renewed = self.peers.tell_lease",
+        "relay/host.py",
+        "self.leadership.on_renewed = self.peers.publish_lease",
         "pass",
     ),
 )
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Play the tree as it is and without each mechanism."""
+    """Simulate the days with the unchanged tree and without each mechanism."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--play", required=True, help="command that plays {day} with {seed}")
-    parser.add_argument("--days", required=True, help="days, with commas between")
-    parser.add_argument("--seeds", default="0", help="seeds, with commas between")
-    parser.add_argument("--jobs", type=int, default=2, help="days played at a time")
-    parser.add_argument("--only", default="", help="mechanisms whose names have this in them")
+    parser.add_argument("--play", required=True, help="command that simulates {day} with {seed}")
+    parser.add_argument("--days", required=True, help="days, separated by commas")
+    parser.add_argument("--seeds", default="0", help="seeds, separated by commas")
+    parser.add_argument("--jobs", type=int, default=2, help="number of days simulated in parallel")
+    parser.add_argument("--only", default="", help="only mechanisms whose names contain this")
     options = parser.parse_args(argv)
     days = [(day, seed) for day in options.days.split(",") for seed in options.seeds.split(",")]
     chosen = [row for row in MECHANISMS if options.only in row.name]
@@ -184,7 +187,7 @@
 
 
 def describe(plays) -> Iterator[dict]:
-    """Return one line for each mechanism, the tree as it is first."""
+    """Yield the figures of the unchanged tree, then those of each mechanism."""
     whole = 0.0
     for row, futures in plays:
         found = [future.result() for future in futures]
@@ -201,19 +204,24 @@
 
 
 def play(folder: Path, row: Mechanism | None, command: str, day: str, seed: str) -> float | None:
-    """Play one day in a copy of the tree without a mechanism; None where it gave no worth."""
+    """Simulate one day in a copy of the tree without a mechanism and return its worth.
+
+    Returns None if the command printed no worth.
+    """
     copy = Path(tempfile.mkdtemp(dir=folder)) / "tree"
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(copy)], check=True)
     if (ROOT / "target").exists():
         shutil.copytree(ROOT / "target", copy / "target", symlinks=True)
     if row is not None:
         apply(copy, row)
-    words = shlex.split(command.format(day=day, seed=seed))
-    done = subprocess.run(words, cwd=copy, capture_output=True, text=True, timeout=PLAY_SECONDS)
+    args = shlex.split(command.format(day=day, seed=seed))
+    done = subprocess.run(
+        args, cwd=copy, capture_output=True, text=True, timeout=PLAY_TIMEOUT_SECONDS
+    )
     for entry in (copy / "journal").glob("*.json"):
         shutil.copy(entry, ROOT / "journal")
     shutil.rmtree(copy)
-    found = WORTH.search(done.stdout)
+    found = WORTH_PATTERN.search(done.stdout)
     if found is None:
         print(
             f"{row and row.name}: {day}, seed {seed}: no worth", done.stdout[-500:], file=sys.stderr
@@ -222,11 +230,11 @@
 
 
 def apply(tree: Path, row: Mechanism) -> None:
-    """Take a mechanism out of a copy; one that is not there any more is an error."""
+    """Disable a mechanism in a copy of the tree; raise ValueError if its source text is missing."""
     path = tree / "peridotdock" / row.file
     text = path.read_text()
     if row.old not in text:
-        raise ValueError(f"{row.name}: {row.file} does not have {row.old!r}")
+        raise ValueError(f"{row.name}: {row.file} does not contain {row.old!r}")
     path.write_text(text.replace(row.old, row.new, 1))
 
 
--- a/extras/bench.py
+++ b/extras/bench.py
@@ -1,8 +1,9 @@
-"""``make bench``: target attainment per accelerator and moves, ours against naive and switched off.
+"""``make bench``: target attainment per accelerator, and loads and unloads, for several policies.
 
-Real host processes serve seeded, bursty callers from stand-in engines, in the shapes of the two
-first deployments. One JSON line a run, then a table. A miss is any request offered that did not
-get its first token within its target and then its whole answer, shed ones included.
+It compares the policy of the product with a naive one and with single decisions switched off. Host
+processes serve seeded, bursty callers from stand-in engines, in the shapes of the two first
+deployments. The output is one JSON line for each run, then a table. A request is a miss if it did
+not get its first token within its target and then its complete answer; shed requests are misses.
 """
 
 import argparse
@@ -21,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from extras.fleet_processes import Deployment
-from extras.samples import ACCELERATORS, LIVE_TOKEN, SHAPES, TOKEN, Shape
+from extras.samples import ACCELERATORS, INTERACTIVE_TOKEN, SHAPES, TOKEN, Shape
 from peridotdock.output.formats import format_table
 
 ENGINES = 5
@@ -33,13 +34,13 @@
 ENGINE_OPTIONS += ["--report-lag", "0.1"]
 HOST_OPTIONS = ["--poll-seconds", "0.5", "--watch-seconds", "0.25", "--lateness-seconds", "5"]
 HOST_OPTIONS += ["--address-seconds", "0.2", "--stop-seconds", "5", "--log-level", "ERROR"]
-SWITCHES = ("admission", "affinity", "correction", "prediction", "spread", "planner_copies")
-WORDS = ("dragon", "ledger", "convoy", "river", "policy", "market", "lantern", "bridge")
+DECISIONS = ("admission", "affinity", "correction", "prediction", "spread", "planner_copies")
+VOCABULARY = ("dragon", "ledger", "convoy", "river", "policy", "market", "lantern", "bridge")
 
 
 @dataclass(frozen=True)
-class Load:
-    """How callers of a shape behave: requests a second, and what they send."""
+class LoadProfile:
+    """The traffic of a shape: requests per second, prompt sizes, share of interactive requests."""
 
     base_rate: float
     burst_rate: float
@@ -49,46 +50,46 @@
     live_share: float
 
 
-LOADS = {
-    # Bursts before and during evening sessions; long shared notes, short live prompts.
-    "kahini-ghar": Load(8.0, 26.0, 12, 6000, 400, 0.5),
-    # Renewal bursts; long inputs of their own, little shared.
-    "haneul": Load(5.0, 15.0, 6, 1500, 4500, 0.2),
+LOAD_PROFILES = {
+    # Bursts before and during evening sessions; long shared notes, short interactive prompts.
+    "kahini-ghar": LoadProfile(8.0, 26.0, 12, 6000, 400, 0.5),
+    # Bursts at renewals; long inputs with short shared prefixes.
+    "haneul": LoadProfile(5.0, 15.0, 6, 1500, 4500, 0.2),
 }
 
 
 @dataclass(frozen=True)
 class Request:
-    """One request to come: when (seconds from the start), for what, and its prompt."""
+    """A request to send; ``send_at`` is in seconds after the start of the run."""
 
-    at: float
+    send_at: float
     model: str
     prompt: str
     tokens: int
-    live: bool
+    interactive: bool
 
 
 @dataclass
 class Outcome:
-    """What became of the requests of a run."""
+    """The results of the requests of a run; the histograms are in milliseconds."""
 
     offered: int = 0
-    met: int = 0
+    within_target: int = 0
     misses: Counter = field(default_factory=Counter)
-    first: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
-    between: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
+    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
+    between_tokens: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60_000, 3))
     tokens: int = 0
 
 
 def make_text(rng: random.Random, chars: int) -> str:
     """Return text of about ``chars`` characters."""
-    return " ".join(rng.choice(WORDS) for _ in range(chars // 6))
+    return " ".join(rng.choice(VOCABULARY) for _ in range(chars // 6))
 
 
 def make_requests(shape: Shape, seconds: float, seed: int) -> list[Request]:
-    """Return the requests of a run: a third at the base rate, then a burst on a few models."""
+    """Return the requests of a run: a third of it at the base rate, then a burst on few models."""
     rng = random.Random(seed)
-    load = LOADS[shape.name]
+    load = LOAD_PROFILES[shape.name]
     names = [f"{shape.name}-model-{n}" for n in range(shape.models)]
     names += [f"{shape.name}-adapter-{n}" for n in range(shape.adapters)]
     hot = rng.sample(names[: shape.models], 2) + rng.sample(names[shape.models :], 2)
@@ -107,16 +108,16 @@
 
 
 async def send(session: aiohttp.ClientSession, url: str, req: Request, out: Outcome) -> None:
-    """Send one request and judge its answer."""
-    head = {"authorization": f"Bearer {LIVE_TOKEN if req.live else TOKEN}"}
-    head["x-priority"] = "8" if req.live else "5"
+    """Send one request and add its result to ``out``."""
+    headers = {"authorization": f"Bearer {INTERACTIVE_TOKEN if req.interactive else TOKEN}"}
+    headers["x-priority"] = "8" if req.interactive else "5"
     body = {"model": req.model, "prompt": req.prompt, "stream": True, "max_tokens": req.tokens}
     out.offered += 1
-    began = last = time.monotonic()
+    started_at = last = time.monotonic()
     first = None
     whole = False
     try:
-        async with session.post(f"{url}/v1/completions", json=body, headers=head) as resp:
+        async with session.post(f"{url}/v1/completions", json=body, headers=headers) as resp:
             if resp.status != 200:
                 out.misses[json.loads(await resp.read())["error"]["code"]] += 1
                 return
@@ -125,10 +126,10 @@
                     continue
                 now = time.monotonic()
                 if first is None:
-                    first = now - began
-                    out.first.record_value(max(1, int(first * 1000)))
+                    first = now - started_at
+                    out.first_token.record_value(max(1, int(first * 1000)))
                 else:
-                    out.between.record_value(max(1, int((now - last) * 1000)))
+                    out.between_tokens.record_value(max(1, int((now - last) * 1000)))
                 last = now
                 out.tokens += 1
                 whole = line.startswith(b"data: [DONE]")
@@ -140,27 +141,27 @@
     elif first is None or first > TARGET_SECONDS:
         out.misses["late"] += 1
     else:
-        out.met += 1
+        out.within_target += 1
 
 
-async def drive(deployment: Deployment, requests: list[Request], chaos) -> Outcome:
-    """Send all requests at their times, spread over the hosts."""
+async def drive(deployment: Deployment, requests: list[Request], inject_fault) -> Outcome:
+    """Send all requests at their times, to the hosts in turn, while a fault is injected."""
     out = Outcome()
     urls = [host.url for host in deployment.hosts.values()]
     timeout = aiohttp.ClientTimeout(total=60)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
-        began = time.monotonic()
-        tasks = [asyncio.create_task(chaos(deployment))] if chaos else []
-        for place, req in enumerate(requests):
-            await asyncio.sleep(max(0.0, began + req.at - time.monotonic()))
-            tasks.append(asyncio.create_task(send(session, urls[place % len(urls)], req, out)))
+        started_at = time.monotonic()
+        tasks = [asyncio.create_task(inject_fault(deployment))] if inject_fault else []
+        for index, req in enumerate(requests):
+            await asyncio.sleep(max(0.0, started_at + req.send_at - time.monotonic()))
+            tasks.append(asyncio.create_task(send(session, urls[index % len(urls)], req, out)))
         await asyncio.gather(*tasks)
     return out
 
 
 async def scrape(deployment: Deployment) -> Counter:
-    """Sum the hosts' metrics that the measures are made of."""
+    """Return the sums of the metrics of all hosts, and the call counts of the platform."""
     total: Counter = Counter()
     async with aiohttp.ClientSession() as session:
         for host in deployment.hosts.values():
@@ -177,8 +178,8 @@
     return total
 
 
-async def lose_engine(deployment: Deployment) -> None:
-    """Freeze one engine's process in the middle of the burst and let it go on later."""
+async def freeze_engine(deployment: Deployment) -> None:
+    """Stop the process of one engine during the burst, and continue it 5 s later."""
     process = deployment.engines["engine-1"]
     await asyncio.sleep(10)
     process.signal(signal.SIGSTOP)
@@ -187,7 +188,7 @@
 
 
 async def fail_platform(deployment: Deployment) -> None:
-    """Take the platform down over the shift of demand."""
+    """Take the platform down for 8 s, while the demand shifts to the burst."""
     async with aiohttp.ClientSession() as session:
         await asyncio.sleep(5)
         await session.post(f"{deployment.platform.url}/faults", json={"down": True})
@@ -195,11 +196,11 @@
         await session.post(f"{deployment.platform.url}/faults", json={"down": False})
 
 
-FAULTS = {"none": None, "engine": lose_engine, "platform": fail_platform}
+FAULTS = {"none": None, "engine": freeze_engine, "platform": fail_platform}
 
 
 def run(shape: Shape, variant: str, seed: int, seconds: float, fault: str) -> dict:
-    """Run one variant and return its measures."""
+    """Run one variant in a new deployment and return its figures."""
     policy = "" if variant == "ours" else variant.removeprefix("no ").strip()
     options = [*HOST_OPTIONS, "--policy", policy] if policy else HOST_OPTIONS
     deployment = Deployment(
@@ -213,7 +214,7 @@
     )
     try:
         deployment.start()
-        deployment.wait_true(deployment.publish(deployment.manifest())["generation"])
+        deployment.wait_converged(deployment.publish(deployment.manifest())["generation"])
         return asyncio.run(measure(deployment, shape, variant, seed, seconds, fault))
     finally:
         deployment.stop()
@@ -222,7 +223,10 @@
 async def measure(
     deployment: Deployment, shape: Shape, variant: str, seed: int, seconds: float, fault: str
 ) -> dict:
-    """Drive a started deployment. From here on the weight store gives one load a second."""
+    """Send the requests to a started deployment and return the figures.
+
+    The weight store serves one load per second from then on.
+    """
     async with aiohttp.ClientSession() as session:
         await session.post(f"{deployment.platform.url}/faults", json={"load_gap": 1.0})
     before = await scrape(deployment)
@@ -236,26 +240,26 @@
         "fault": fault,
         "seed": seed,
         "offered": out.offered,
-        "attained": round(out.met / max(1, out.offered), 4),
-        "met_per_accelerator_s": round(out.met / seconds / (ENGINES * ACCELERATORS), 3),
+        "attained": round(out.within_target / max(1, out.offered), 4),
+        "met_per_accelerator_s": round(out.within_target / seconds / (ENGINES * ACCELERATORS), 3),
         "moves": int(spent["orders"]),
         "retries": int(spent["retries"]),
         "misses": dict(out.misses),
         "tokens_s": round(out.tokens / seconds, 1),
-        "first_ms": quantiles(out.first),
-        "between_ms": quantiles(out.between),
+        "first_ms": quantiles(out.first_token),
+        "between_ms": quantiles(out.between_tokens),
         "platform_reads_s": round(spent["read"] / seconds, 1),
         "platform_writes_s": round(spent["write"] / seconds, 2),
     }
 
 
 def quantiles(histogram: HdrHistogram) -> list[int]:
-    """Return the 50th, 95th and 99th percentile."""
+    """Return the 50th, 95th and 99th percentile, rounded down to integers."""
     return [int(histogram.get_value_at_percentile(p)) for p in (50, 95, 99)]
 
 
 def summarise(rows: list[dict]) -> list[dict]:
-    """Return one row for each shape, fault and variant, with the spread over the seeds."""
+    """Return one row for each shape, fault and variant, with means and range over the seeds."""
     groups: dict[tuple, list[dict]] = {}
     for row in rows:
         groups.setdefault((row["shape"], row["fault"], row["variant"]), []).append(row)
@@ -281,18 +285,20 @@
 
 
 def main() -> int:
-    """Run the variants asked for, all in one call."""
+    """Run the chosen variants and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--shape", choices=[*SHAPES, "both"], default="both")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=24.0)
     parser.add_argument("--fault", choices=[*FAULTS, "all"], default="none")
-    parser.add_argument("--switches", action="store_true", help="also switch each decision off")
+    parser.add_argument(
+        "--switches", action="store_true", help="also run with each decision switched off"
+    )
     options = parser.parse_args()
     shapes = list(SHAPES) if options.shape == "both" else [options.shape]
     faults = list(FAULTS) if options.fault == "all" else [options.fault]
     variants = ["naive", "ours"]
-    variants += [f"no {name}" for name in SWITCHES] if options.switches else []
+    variants += [f"no {name}" for name in DECISIONS] if options.switches else []
     rows = []
     for shape in shapes:
         for fault in faults:
--- a/extras/bench_clients.py
+++ b/extras/bench_clients.py
@@ -1,6 +1,6 @@
-"""``make bench-clients``: processor time of a streamed answer by aiohttp and by blacksheep.
+"""``make bench-clients``: CPU time of a streamed answer in the clients of aiohttp and blacksheep.
 
-A stand-in engine in another process streams; only this process's time counts.
+A stand-in engine streams from another process; the CPU time is that of this process alone.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 
 from extras.fleet_processes import Process
 
-COUNT = 300
-AT_ONCE = 8
+REQUESTS_PER_ROUND = 300
+CONCURRENCY = 8
 ROUNDS = 3
 BODY = json.dumps({"model": "m", "prompt": "x", "stream": True, "max_tokens": 20}).encode()
 ORDER = {"order": 1, "action": "load", "item": "m@1", "bytes": 1, "accelerators": [0]}
 
 
-async def by_aiohttp(session: aiohttp.ClientSession, url: str) -> int:
-    """Stream once with aiohttp; return the bytes read."""
+async def stream_with_aiohttp(session: aiohttp.ClientSession, url: str) -> int:
+    """Send one streamed request with aiohttp and return the number of bytes read."""
     size = 0
     async with session.post(f"{url}/v1/completions", data=BODY) as resp:
         async for part in resp.content.iter_any():
@@ -30,8 +30,8 @@
     return size
 
 
-async def by_blacksheep(client: ClientSession, url: str) -> int:
-    """Stream once with blacksheep's client; return the bytes read."""
+async def stream_with_blacksheep(client: ClientSession, url: str) -> int:
+    """Send one streamed request with the client of blacksheep and return the bytes read."""
     content = Content(b"application/json", BODY)
     request = Request("POST", f"{url}/v1/completions".encode(), []).with_content(content)
     resp = await client.send(request)
@@ -42,8 +42,8 @@
 
 
 async def drive(work, client, url: str) -> tuple[float, int]:
-    """Return processor milliseconds a request, and the bytes of one answer."""
-    left = iter(range(COUNT))
+    """Return the CPU milliseconds per request and the bytes of the largest answer."""
+    left = iter(range(REQUESTS_PER_ROUND))
     sizes = set()
 
     async def worker() -> None:
@@ -51,17 +51,20 @@
             sizes.add(await work(client, url))
 
     used = time.process_time()
-    await asyncio.gather(*(worker() for _ in range(AT_ONCE)))
-    return (time.process_time() - used) / COUNT * 1000, max(sizes)
+    await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
+    return (time.process_time() - used) / REQUESTS_PER_ROUND * 1000, max(sizes)
 
 
 async def main_async(url: str) -> None:
-    """Measure both in turn."""
+    """Load the model, then measure the two clients in turn, ROUNDS times."""
     async with aiohttp.ClientSession() as session:
         async with session.post(f"{url}/control/orders", json=ORDER) as resp:
             await resp.read()
         other = ClientSession()
-        pairs = (("aiohttp", by_aiohttp, session), ("blacksheep", by_blacksheep, other))
+        pairs = (
+            ("aiohttp", stream_with_aiohttp, session),
+            ("blacksheep", stream_with_blacksheep, other),
+        )
         for number in range(ROUNDS):
             for name, work, client in pairs:
                 spent, size = await drive(work, client, url)
@@ -71,7 +74,7 @@
 
 
 def main() -> int:
-    """Start the engine, measure, stop it."""
+    """Start the engine, measure the clients and stop the engine."""
     engine = Process(
         ["tests.standins", "engine", "--step", "0.001", "--batch-limit", "64", "--knee", "64"]
     ).wait_ready()
--- a/extras/bench_idle.py
+++ b/extras/bench_idle.py
@@ -1,7 +1,7 @@
-"""``make bench-idle``: what control costs a host without traffic, by the number of hosts.
+"""``make bench-idle``: the cost of control per host without traffic, by the number of hosts.
 
-Real processes on loopback: hosts that watch, order, plan and tell each other, and nothing more.
-Each line gives processor share, resident memory and bytes between hosts, per host.
+Host processes on loopback watch endpoints, order, plan and exchange facts, and serve no requests.
+Each JSON line holds the CPU share, resident memory and peer traffic per host.
 """
 
 import argparse
@@ -19,17 +19,17 @@
 from extras.fleet_processes import Deployment, Process
 from extras.samples import HANEUL
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def rss_mb(process: Process) -> float:
-    """Return a child's resident memory."""
+    """Return the resident memory of a child process in megabytes."""
     with open(f"/proc/{process.child.pid}/statm") as statm:
-        return int(statm.read().split()[1]) * PAGE / 1e6
+        return int(statm.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 async def peer_bytes(deployment: Deployment) -> list[float]:
-    """Return the bytes each host has sent to and received from other hosts."""
+    """Return the bytes that each host has exchanged with other hosts, sent plus received."""
     found = []
     async with aiohttp.ClientSession() as session:
         for host in deployment.hosts.values():
@@ -40,8 +40,8 @@
     return found
 
 
-async def calls(deployment: Deployment) -> dict[str, int]:
-    """Return the platform's count of reads and writes."""
+async def platform_calls(deployment: Deployment) -> dict[str, int]:
+    """Return how many reads and writes the platform has served."""
     async with (
         aiohttp.ClientSession() as session,
         session.get(f"{deployment.platform.url}/counts") as resp,
@@ -50,21 +50,21 @@
 
 
 def measure(hosts: int, engines: int, seconds: float) -> dict:
-    """Start a deployment, let it rest, and measure it for some seconds."""
+    """Start a deployment, wait until it is idle, and measure it for some seconds."""
     deployment = Deployment(HANEUL, engines, 1, hosts, host_options=["--log-level", "ERROR"])
     try:
         deployment.start()
         document = deployment.manifest()
         document["adapters"] = document["adapters"][:13]
-        deployment.wait_true(deployment.publish(document)["generation"])
+        deployment.wait_converged(deployment.publish(document)["generation"])
         time.sleep(3)
-        before = asyncio.run(peer_bytes(deployment)), asyncio.run(calls(deployment))
+        before = asyncio.run(peer_bytes(deployment)), asyncio.run(platform_calls(deployment))
         used = [cpu_seconds(host) for host in deployment.hosts.values()]
-        began = time.monotonic()
+        started_at = time.monotonic()
         time.sleep(seconds)
-        spent = time.monotonic() - began
+        spent = time.monotonic() - started_at
         used = [cpu_seconds(h) - u for h, u in zip(deployment.hosts.values(), used, strict=True)]
-        after = asyncio.run(peer_bytes(deployment)), asyncio.run(calls(deployment))
+        after = asyncio.run(peer_bytes(deployment)), asyncio.run(platform_calls(deployment))
         moved = [(b - a) / spent for a, b in zip(before[0], after[0], strict=True)]
         return {
             "hosts": hosts,
@@ -81,7 +81,7 @@
 
 
 def main() -> int:
-    """Measure some numbers of hosts."""
+    """Measure deployments with the given numbers of hosts."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--hosts", type=int, nargs="+", default=[1, 3, 6, 9, 12])
     parser.add_argument("--engines", type=int, default=5)
--- a/extras/bench_path.py
+++ b/extras/bench_path.py
@@ -1,7 +1,7 @@
-"""``make bench-path``: what one host adds to calling the engine straight, as JSON lines.
+"""``make bench-path``: the latency and CPU time that one host adds to a request, as JSON lines.
 
-The same requests go straight to a stand-in engine and through one host, in the same run. Processor
-time is that of the host's process alone.
+The same requests go directly to a stand-in engine and through one host, in the same run. CPU time
+is that of the host process alone.
 """
 
 import argparse
@@ -17,23 +17,26 @@
 from extras.samples import HANEUL, TOKEN
 
 MODEL = "haneul-model-0"
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def cpu_seconds(process: Process) -> float:
-    """Return the processor time a child has used."""
+    """Return the CPU time of a child process in seconds."""
     with open(f"/proc/{process.child.pid}/stat") as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-async def ask(session: aiohttp.ClientSession, url: str, tokens: int, times: list) -> None:
-    """Send one streamed request; note the time to its first token and the times between."""
+async def send_request(session: aiohttp.ClientSession, url: str, tokens: int, times: list) -> None:
+    """Send one streamed request and record its times in seconds.
+
+    They are the time to the first token, the mean time between tokens and the total.
+    """
     body = {"model": MODEL, "prompt": "hello", "stream": True, "max_tokens": tokens}
-    head = {"authorization": f"Bearer {TOKEN}", "x-request-id": os.urandom(8).hex()}
-    began = last = time.perf_counter()
+    headers = {"authorization": f"Bearer {TOKEN}", "x-request-id": os.urandom(8).hex()}
+    started_at = last = time.perf_counter()
     gaps = []
-    async with session.post(f"{url}/v1/completions", json=body, headers=head) as resp:
+    async with session.post(f"{url}/v1/completions", json=body, headers=headers) as resp:
         async for line in resp.content:
             if line.startswith(b"data: "):
                 now = time.perf_counter()
@@ -41,11 +44,11 @@
                 last = now
     if len(gaps) < tokens:
         raise RuntimeError(f"an answer of {len(gaps)} frames from {url}")
-    times.append((gaps[0], sum(gaps[1:]) / len(gaps[1:]), last - began))
+    times.append((gaps[0], sum(gaps[1:]) / len(gaps[1:]), last - started_at))
 
 
-async def drive(url: str, count: int, at_once: int, tokens: int) -> tuple[list, float]:
-    """Send ``count`` requests, ``at_once`` at a time; return their times and the whole time."""
+async def drive(url: str, count: int, concurrency: int, tokens: int) -> tuple[list, float]:
+    """Send ``count`` requests, ``concurrency`` at a time; return their times and the total time."""
     times: list = []
     left = iter(range(count))
     connector = aiohttp.TCPConnector(limit=0)
@@ -53,21 +56,21 @@
 
         async def worker() -> None:
             for _ in left:
-                await ask(session, url, tokens, times)
+                await send_request(session, url, tokens, times)
 
-        began = time.perf_counter()
-        await asyncio.gather(*(worker() for _ in range(at_once)))
-        return times, time.perf_counter() - began
+        started_at = time.perf_counter()
+        await asyncio.gather(*(worker() for _ in range(concurrency)))
+        return times, time.perf_counter() - started_at
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile in milliseconds."""
+    """Return a quantile of values in seconds, in milliseconds."""
     ordered = sorted(values)
     return round(ordered[min(len(ordered) - 1, int(len(ordered) * share))] * 1000, 3)
 
 
 def describe(times: list) -> dict[str, float]:
-    """Return the 50th and 99th percentile of first token and of the mean between tokens."""
+    """Return the 50th and 99th percentile of both token times, in milliseconds."""
     first, between = [t[0] for t in times], [t[1] for t in times]
     return {
         "first_p50_ms": quantile(first, 0.5),
@@ -78,7 +81,7 @@
 
 
 def main() -> int:
-    """Measure both ways in turn, some times over."""
+    """Measure both paths in turn, for a number of rounds."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--count", type=int, default=400)
     parser.add_argument("--at-once", type=int, default=4)
@@ -93,7 +96,7 @@
         deployment.start()
         document = deployment.manifest()
         document["models"], document["adapters"] = document["models"][:1], []
-        deployment.wait_true(deployment.publish(document)["generation"])
+        deployment.wait_converged(deployment.publish(document)["generation"])
         engine, host = deployment.engines["engine-0"], deployment.hosts["host-0"]
         for number in range(options.rounds):
             straight, _ = asyncio.run(
@@ -118,7 +121,7 @@
     spent: float,
     options: argparse.Namespace,
 ) -> None:
-    """Print one round."""
+    """Print the figures of one round as a JSON line."""
     count = options.count
     row = {
         "round": number,
--- a/extras/fleet_processes.py
+++ b/extras/fleet_processes.py
@@ -1,4 +1,4 @@
-"""Start and stop a small deployment of real processes on loopback, for the demo and for tests."""
+"""Starts and stops a small deployment of processes on loopback, for demo, benchmarks and tests."""
 
 import json
 import os
@@ -16,27 +16,31 @@
 CLUSTER_KEY = "sample-cluster-key-0001"
 OPERATOR_TOKEN = "sample-operator-token"
 READY_PREFIX = "ready: "
-START_SECONDS = 60.0
+START_TIMEOUT_SECONDS = 60.0
 
 
 class Process:
-    """A child process that prints ``ready: URL`` when it serves."""
+    """A child process that prints ``ready: URL`` when it serves.
 
-    def __init__(self, args: Sequence[str], log: str = os.devnull):
-        environ = {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
+    ``args`` is the module to run and its arguments, ``log`` the file that gets the standard error
+    output, ``checkout`` the folder with the code.
+    """
+
+    def __init__(self, args: Sequence[str], log: str = os.devnull, checkout: Path = ROOT):
+        environ = {**os.environ, "PYTHONPATH": str(checkout), "PYTHONUNBUFFERED": "1"}
         with open(log, "ab") as errors:
             self.child = subprocess.Popen(
                 [sys.executable, "-m", *args],
                 stdout=subprocess.PIPE,
                 stderr=errors,
                 env=environ,
-                cwd=ROOT,
+                cwd=checkout,
                 text=True,
             )
         self.url = ""
 
     def wait_ready(self) -> "Process":
-        """Wait for the line that says where it serves."""
+        """Wait for the line with the URL; raise RuntimeError if the process ends first."""
         for line in self.child.stdout:
             if line.startswith(READY_PREFIX):
                 self.url = line.removeprefix(READY_PREFIX).strip()
@@ -44,12 +48,12 @@
         raise RuntimeError(f"process {self.child.args} ended with {self.child.wait()}")
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process, if it is running."""
         if self.child.poll() is None:
             self.child.send_signal(number)
 
     def stop(self, seconds: float = 20.0) -> int:
-        """Ask the process to stop; kill it when it does not."""
+        """Stop the process with SIGTERM, kill it after ``seconds``, and return its exit status."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
@@ -60,7 +64,10 @@
 
 
 class Deployment:
-    """A platform, engines, services and hosts, each a process of its own."""
+    """A platform, engines, services and hosts, each in its own process.
+
+    Hosts of odd number run the code of the checkout ``beside`` if it is given.
+    """
 
     def __init__(
         self,
@@ -72,6 +79,7 @@
         engine_options: Sequence[str] = (),
         host_options: Sequence[str] = (),
         platform_options: Sequence[str] = (),
+        beside: Path | None = None,
     ):
         self.shape = shape
         self._counts = (engines, services, hosts)
@@ -79,13 +87,14 @@
         self._engine_options = list(engine_options)
         self._host_options = list(host_options)
         self._platform_options = list(platform_options)
+        self._beside = beside or ROOT
         self.platform: Process | None = None
         self.engines: dict[str, Process] = {}
         self.services: dict[str, Process] = {}
         self.hosts: dict[str, Process] = {}
 
     def start(self) -> "Deployment":
-        """Start everything and wait until each process serves."""
+        """Start all processes and wait until each of them serves."""
         engines, services, hosts = self._counts
         self.platform = self._spawn(
             "tests.standins", "platform", *self._platform_options
@@ -106,53 +115,61 @@
             process.wait_ready()
         return self
 
-    def _spawn(self, *args: str) -> Process:
-        return Process(args, self._log)
+    def _spawn(self, *args: str, checkout: Path = ROOT) -> Process:
+        return Process(args, self._log, checkout)
 
     def _spawn_host(self, number: int) -> Process:
         domains = self.shape.domains
         options = ["--host-id", f"host-{number}", "--domain", domains[number % len(domains)]]
         options += ["--platform-url", self.platform.url, "--cluster-key", CLUSTER_KEY]
         options += ["--operator-token", OPERATOR_TOKEN, *self._host_options]
-        return self._spawn("peridotdock.cli.daemon", *options)
+        checkout = self._beside if number % 2 else ROOT
+        return self._spawn("peridotdock.cli.daemon", *options, checkout=checkout)
 
     def add_host(self, number: int) -> Process:
-        """Start one more host, or one in the place of another."""
+        """Start a host, additional or in place of the one with the same number, and wait for it."""
         process = self._spawn_host(number).wait_ready()
         self.hosts[f"host-{number}"] = process
         return process
 
     def manifest(self) -> dict:
-        """Return the sample manifest for these endpoints."""
+        """Return the sample manifest for the endpoints of this deployment."""
         engines = [(name, process.url) for name, process in self.engines.items()]
         services = [(name, process.url) for name, process in self.services.items()]
         return make_manifest(self.shape, engines, services)
 
     def publish(self, document: dict) -> dict:
-        """Publish a manifest through one host."""
+        """Publish a manifest through the first host and return its answer."""
         host = next(iter(self.hosts.values()))
-        return call(f"{host.url}/admin/manifest", OPERATOR_TOKEN, json.dumps(document).encode())
+        return call_admin(
+            f"{host.url}/admin/manifest", OPERATOR_TOKEN, json.dumps(document).encode()
+        )
 
-    def wait_true(self, generation: int) -> None:
-        """Wait until a manifest is in force and true on every host."""
-        deadline = time.monotonic() + START_SECONDS
+    def wait_converged(self, generation: int) -> None:
+        """Wait until every host reports the generation as in force and its state as converged.
+
+        Raises RuntimeError after START_TIMEOUT_SECONDS.
+        """
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         waiting = list(self.hosts.values())
         while waiting and time.monotonic() < deadline:
-            waiting = [host for host in waiting if not self._is_true(host, generation)]
+            waiting = [host for host in waiting if not self._has_converged(host, generation)]
             time.sleep(0.1)
         if waiting:
-            raise RuntimeError(f"not true after {START_SECONDS} s on {len(waiting)} hosts")
+            raise RuntimeError(
+                f"not converged after {START_TIMEOUT_SECONDS} s on {len(waiting)} hosts"
+            )
 
-    def _is_true(self, host: Process, generation: int) -> bool:
+    def _has_converged(self, host: Process, generation: int) -> bool:
         try:
-            status = call(f"{host.url}/admin/status", OPERATOR_TOKEN)
+            status = call_admin(f"{host.url}/admin/status", OPERATOR_TOKEN)
         except OSError:
             return False
         everywhere = len(status["hosts"]) >= len(self.hosts)
         return everywhere and status["true"] and status["generation"] >= generation
 
     def stop(self) -> None:
-        """Stop everything, hosts first."""
+        """Stop all processes, the hosts first."""
         for process in self.hosts.values():
             process.signal(signal.SIGTERM)
         others = (*self.engines.values(), *self.services.values(), self.platform)
@@ -161,8 +178,8 @@
                 process.stop()
 
 
-def call(url: str, token: str, body: bytes | None = None) -> dict:
-    """Call a host as an operator."""
+def call_admin(url: str, token: str, body: bytes | None = None) -> dict:
+    """Send an operator's request to a host and return the JSON answer; a body makes it a POST."""
     request = urllib.request.Request(url, body, {"authorization": f"Bearer {token}"})
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     with opener.open(request, timeout=10) as resp:
--- a/extras/samples.py
+++ b/extras/samples.py
@@ -1,16 +1,16 @@
-"""Sample manifests in the sizes of the two first deployments, written for given endpoints."""
+"""Sample manifests in the sizes of the first two deployments, for given endpoints."""
 
 import hashlib
 from dataclasses import dataclass
 
 GIB = 2**30
 TOKEN = "sample-caller-token"
-LIVE_TOKEN = "sample-live-token"
+INTERACTIVE_TOKEN = "sample-live-token"
 
 
 @dataclass(frozen=True)
 class Shape:
-    """A deployment: its domains, models, adapters and how it weighs moves."""
+    """The shape of a deployment: failure domains, model and adapter counts, price of a move."""
 
     name: str
     domains: tuple[str, ...]
@@ -33,7 +33,7 @@
 
 
 def digest_token(token: str) -> str:
-    """Return a token as it stands in a manifest."""
+    """Return the SHA-256 digest of a token, as manifests hold it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -45,23 +45,23 @@
         {
             "id": name,
             "url": url,
-            "domain": shape.domains[place % len(shape.domains)],
+            "domain": shape.domains[index % len(shape.domains)],
             "kind": "engine",
-            "fencing": place % 2 == 0,
+            "fencing": index % 2 == 0,
             "accelerators": [
                 {"id": f"a{number}", "bytes": ACCELERATOR_BYTES} for number in range(ACCELERATORS)
             ],
         }
-        for place, (name, url) in enumerate(engines)
+        for index, (name, url) in enumerate(engines)
     ]
     endpoints += [
         {
             "id": name,
             "url": url,
-            "domain": shape.domains[place % len(shape.domains)],
+            "domain": shape.domains[index % len(shape.domains)],
             "kind": "service",
         }
-        for place, (name, url) in enumerate(services)
+        for index, (name, url) in enumerate(services)
     ]
     target = {"first_token_ms": shape.first_token_ms, "between_tokens_ms": 76}
     return {
@@ -83,7 +83,7 @@
             },
             {
                 "id": "live",
-                "token_sha256": digest_token(LIVE_TOKEN),
+                "token_sha256": digest_token(INTERACTIVE_TOKEN),
                 "requests_per_second": 5000,
                 "streams": 2000,
                 "priority": 8,
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m extras.soak``: play seeds, print each verdict, end with ``N passed, N failed``."""
+"""``python -m extras.soak``: runs seeded fault plans and prints the outcome of each.
+
+The last line is ``N passed, N failed``.
+"""
 
 import asyncio
 import logging
@@ -13,132 +16,155 @@
 import click
 
 from extras.soak.callers import Caller
-from extras.soak.checks import Record, Words, find_broken
-from extras.soak.plan import LONGEST_SECONDS, Plan, draw
+from extras.soak.checks import Record, EndpointRecord, find_violations
+from extras.soak.plan import MAX_FAULT_SECONDS, Plan, draw_plan
 from extras.soak.proxy import Proxy
-from extras.soak.world import MODELS_FIT, World
+from extras.soak.deployment import MODELS_FIT, SoakDeployment
 from tests.standins.runner import EVENTS_PER_STREAM, RunnerStandin
 
-CALLERS = 8
-# Callers that send the same request, which ends endpoints, beside what they send otherwise.
-POISONERS = 2
-# Seconds after the last fault in which hosts may come back before they are probed.
+CALLER_COUNT = 8
+# Callers that also repeat one request that crashes endpoints.
+POISON_CALLER_COUNT = 2
+# Seconds that hosts have after the last fault to recover before probes are sent.
 RECOVERY_SECONDS = 7.0
-PROBES = 40
-START_SECONDS = 60.0
+PROBE_COUNT = 40
+START_TIMEOUT_SECONDS = 60.0
 
 
-async def wait_ready(world: World) -> None:
-    """Wait until every host says that it is ready."""
-    async with aiohttp.ClientSession() as session, asyncio.timeout(START_SECONDS):
-        for host in world.hosts:
+async def wait_ready(deployment: SoakDeployment) -> None:
+    """Wait until the ready listener of every host answers 200."""
+    async with aiohttp.ClientSession() as session, asyncio.timeout(START_TIMEOUT_SECONDS):
+        for host in deployment.hosts:
             while True:
                 try:
                     async with session.get(f"http://{host.address('ready')}/v1/ready") as resp:
                         if resp.status == 200:
                             break
                 except aiohttp.ClientError:
-                    # Not up yet; the timeout above bounds the wait.
+                    # The host does not listen yet; START_TIMEOUT_SECONDS bounds the wait.
                     pass
                 await asyncio.sleep(0.05)
 
 
-async def strike_all(world: World, plan: Plan, began: float) -> None:
-    """Begin each fault at its time; they may overlap. Return when all have ended."""
+async def inject_faults(deployment: SoakDeployment, plan: Plan, started_at: float) -> None:
+    """Start each fault at its time, ``started_at`` being the start of the run in monotonic seconds.
+
+    Faults may overlap. Returns when all have ended and raises the first error of one.
+    """
     tasks = []
     for fault in plan.faults:
-        await asyncio.sleep(max(0.0, fault.at - (time.monotonic() - began)))
-        tasks.append(asyncio.ensure_future(world.strike(fault)))
+        await asyncio.sleep(max(0.0, fault.at - (time.monotonic() - started_at)))
+        tasks.append(asyncio.ensure_future(deployment.inject(fault)))
     for outcome in await asyncio.gather(*tasks, return_exceptions=True):
         if isinstance(outcome, Exception):
             raise outcome
 
 
-async def play(plan: Plan, hosts: int, folder: Path) -> list[str]:
-    """Play one plan and return what was promised and not kept."""
-    record, world = Record(), World(hosts, folder)
-    await world.start()
+async def run_plan(plan: Plan, hosts: int, folder: Path, beside: Path | None = None) -> list[str]:
+    """Run one plan against new processes and return the violated guarantees, one line each."""
+    record, deployment = Record(), SoakDeployment(hosts, folder, beside)
+    await deployment.start()
     try:
-        await wait_ready(world)
-        began = time.monotonic()
-        callers = [Caller(n, world, record, began, plan.seed) for n in range(CALLERS)]
+        await wait_ready(deployment)
+        started_at = time.monotonic()
+        callers = [
+            Caller(n, deployment, record, started_at, plan.seed) for n in range(CALLER_COUNT)
+        ]
         work = [caller.run(plan.seconds) for caller in callers]
         if plan.poisoned:
-            work += [caller.run_poison(plan.seconds) for caller in callers[:POISONERS]]
-        if plan.needy:
-            seconds = plan.seconds - LONGEST_SECONDS
-            work += [world.limit(seconds), world.refuse(seconds), world.leave_by_word()]
-        await asyncio.gather(strike_all(world, plan, began), *work)
+            work += [caller.run_poison(plan.seconds) for caller in callers[:POISON_CALLER_COUNT]]
+        if plan.overloaded:
+            seconds = plan.seconds - MAX_FAULT_SECONDS
+            work += [
+                deployment.announce_limits(seconds),
+                deployment.refuse_requests(seconds),
+                deployment.announce_draining(),
+            ]
+        await asyncio.gather(inject_faults(deployment, plan, started_at), *work)
         await asyncio.sleep(RECOVERY_SECONDS)
-        await probe(world, record, began, plan.seed)
-        collect(world, record, began)
-        return list(find_broken(record, plan.planned, EVENTS_PER_STREAM, MODELS_FIT))
+        await probe(deployment, record, started_at, plan.seed)
+        collect_observations(deployment, record, started_at)
+        return list(find_violations(record, plan.maintenance_only, EVENTS_PER_STREAM, MODELS_FIT))
     finally:
-        await world.stop()
+        await deployment.stop()
 
 
-async def probe(world: World, record: Record, began: float, seed: int) -> None:
-    """Send requests when all is well again."""
-    caller = Caller(CALLERS, world, record, began, seed)
+async def probe(deployment: SoakDeployment, record: Record, started_at: float, seed: int) -> None:
+    """Send requests after all faults have ended, and record them as probes."""
+    caller = Caller(CALLER_COUNT, deployment, record, started_at, seed)
     async with aiohttp.ClientSession(auto_decompress=False) as session:
-        while len(record.probes) < PROBES:
+        while len(record.probes) < PROBE_COUNT:
             before = len(record.probes)
             await caller.send(session, record.probes)
             if len(record.probes) == before:
                 return
 
 
-def collect(world: World, record: Record, began: float) -> None:
-    """Take down what the endpoints saw."""
-    record.ends = world.ends
-    record.limited = world.limited
-    links = world.links | world.past_links
-    for runner in (*world.engines, *world.pages, *world.gone):
+def collect_observations(deployment: SoakDeployment, record: Record, started_at: float) -> None:
+    """Copy what the endpoints have recorded into the record of the run."""
+    record.crash_times = deployment.crash_times
+    record.limited_endpoints = deployment.limited_endpoints
+    links = deployment.links | deployment.closed_links
+    for runner in (*deployment.engines, *deployment.pages, *deployment.stopped_runners):
         record.ran += runner.executed
         record.orders[runner.name] = runner.orders
-        record.held[runner.name] = runner.max_models_held
-        leaves_at = world.leaves_at.get(runner.name, math.inf)
-        record.words.append(read_words(runner, links[runner.name], leaves_at, began))
+        record.max_held[runner.name] = runner.max_models_held
+        draining_from = deployment.draining_from.get(runner.name, math.inf)
+        record.endpoint_records.append(
+            read_endpoint_record(runner, links[runner.name], draining_from, started_at)
+        )
 
 
-def read_words(runner: RunnerStandin, link: Proxy, leaves_at: float, began: float) -> Words:
-    """Return what an endpoint said and got, in seconds of the run.
+def read_endpoint_record(
+    runner: RunnerStandin, link: Proxy, draining_from: float, started_at: float
+) -> EndpointRecord:
+    """Return what an endpoint announced and received, in seconds since the start of the run.
 
-    A wish for rest that was lost on its way is left out: no host knows of it.
+    A backoff is left out if the answer that asked for it was lost on the way, as no host knows it.
     """
-    heads = [(at - began, name) for at, name in runner.request_times]
-    rests = [
-        (at - began, name, seconds)
+    requests = [(at - started_at, name) for at, name in runner.request_times]
+    backoffs = [
+        (at - started_at, name, seconds)
         for at, name, seconds, port in runner.refusals
         if not link.lost(port, at)
     ]
-    return Words(heads, rests, leaves_at - began)
+    return EndpointRecord(requests, backoffs, draining_from - started_at)
 
 
 def describe(plan: Plan) -> str:
-    """Return a plan as lines of text."""
-    rows = [f"{f.at:6.2f} s for {f.seconds:.2f} s  {f.kind.name} {f.target}" for f in plan.faults]
+    """Return a plan as text, one line for each fault."""
+    rows = [
+        f"{f.at:6.2f} s for {f.seconds:.2f} s  {f.kind.name} {f.target_index}" for f in plan.faults
+    ]
     return "\n".join([f"seed {plan.seed}, {plan.seconds} s", *rows]) + "\n"
 
 
 @click.command()
 @click.option("--first", default=1, help="First seed.")
-@click.option("--seeds", default=5, help="How many seeds, one after the other.")
-@click.option("--seconds", default=15.0, help="Length of a run's traffic.")
-@click.option("--hosts", default=4, help="Host processes in a run.")
-@click.option("--keep", default="", help="Folder for plans and logs of seeds that fail.")
-def main(first: int, seeds: int, seconds: float, hosts: int, keep: str) -> None:
-    """Play seeded plans of faults against real processes, and check what callers are promised."""
+@click.option("--seeds", default=5, help="Number of seeds, run one after the other.")
+@click.option("--seconds", default=15.0, help="Seconds of traffic in each run.")
+@click.option("--hosts", default=4, help="Number of host processes in each run.")
+@click.option("--keep", default="", help="Folder that gets the plans and logs of seeds that fail.")
+@click.option(
+    "--beside",
+    metavar="DIR",
+    type=click.Path(exists=True, file_okay=False, resolve_path=True, path_type=Path),
+    help="Another checkout; every second host runs from it, so that two versions run side by side.",
+)
+def main(
+    first: int, seeds: int, seconds: float, hosts: int, keep: str, beside: Path | None
+) -> None:
+    """Run seeded plans of faults against real processes and check the guarantees to callers."""
     logging.disable(logging.CRITICAL)
     failures = 0
     for seed in range(first, first + seeds):
-        plan = draw(seed, seconds)
+        plan = draw_plan(seed, seconds)
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         try:
-            broken = asyncio.run(play(plan, hosts, folder))
+            broken = asyncio.run(run_plan(plan, hosts, folder, beside))
         except Exception as exc:
-            # A run that could not be played proves nothing: it counts as failed.
-            broken = [f"not played: {exc!r}"]
+            # A run that raised an error has checked nothing, so it counts as failed.
+            broken = [f"not run: {exc!r}"]
         failures += bool(broken)
         click.echo(f"seed {seed}: {'failed' if broken else 'passed'}")
         for line in broken:
