--- a/extras/mutants.py
+++ b/extras/mutants.py
@@ -96,14 +96,14 @@
     Mutant(
         "a conflict after a lost answer is read back",
         "clients/platform.py",
-        "            return await read_back(platform, tx)",
+        "            return await resolve_conflict(platform, tx)",
         "            return again",
         "tests.test_platform",
     ),
     Mutant(
         "the HTTP library sends a call that must not repeat only once",
         "clients/endpoint.py",
-        "middlewares=(send_once(),) if call.once else (),",
+        "middlewares=(send_once(),) if call.at_most_once else (),",
         "middlewares=(),",
         "tests.test_failures.NotRunIsTrue",
     ),
@@ -287,14 +287,14 @@
     Mutant(
         "a key is kept from endpoints",
         "platform/wire.py",
-        "STEERING | OURS | IDENTITY |",
-        "STEERING | OURS |",
+        "            | IDENTITY_HEADERS\n",
+        "",
         "tests.relay.test_workspaces.HostTest",
     ),
     Mutant(
         "hosts are told digests for keys",
         "platform/documents.py",
-        "            row.pop(KEYS, None)\n",
+        "            row.pop(KEYS_FIELD, None)\n",
         "",
         "tests.relay.test_workspaces.DecodeTest",
     ),
@@ -338,7 +338,7 @@
         "decisions/retry_budget.py",
         "extra = self._extra if now >= self._extra_from else 0.0",
         "extra = self._extra",
-        "tests.relay.test_decisions.RetryBudgetTest",
+        "tests.relay.test_decisions.SharedRetryBudgetTest",
     ),
     Mutant(
         "a holder that resigns hands on the wait for the one before",
@@ -385,7 +385,7 @@
     Mutant(
         "a connection that was made while the loop stood still counts as made",
         "clients/http.py",
-        "async with IterationTimeout(timeout.sock_connect, CONNECT_TURNS):",
+        "async with IterationTimeout(timeout.sock_connect, CONNECT_ITERATIONS):",
         "async with IterationTimeout(timeout.sock_connect):",
         "tests.relay.test_connections.StallTest",
     ),
--- a/extras/soak/__main__.py
+++ b/extras/soak/__main__.py
@@ -16,10 +16,10 @@
 import click
 
 from extras.soak.callers import Caller
-from extras.soak.checks import Record, EndpointRecord, find_violations
+from extras.soak.checks import EndpointRecord, Record, find_violations
+from extras.soak.deployment import MODELS_FIT, SoakDeployment
 from extras.soak.plan import MAX_FAULT_SECONDS, Plan, draw_plan
 from extras.soak.proxy import Proxy
-from extras.soak.deployment import MODELS_FIT, SoakDeployment
 from tests.standins.runner import EVENTS_PER_STREAM, RunnerStandin
 
 CALLER_COUNT = 8
--- a/peridotdock/clients/endpoint.py
+++ b/peridotdock/clients/endpoint.py
@@ -16,12 +16,12 @@
 from yarl import URL
 
 from peridotdock.clients.http import (
-    TRANSFER_ERRORS,
+    CONNECT_ERRORS,
     CONNECT_TIMEOUT_SECONDS,
     STILL_WANTED,
-    CONNECT_ERRORS,
-    Pool,
+    TRANSFER_ERRORS,
     ConnectionAwareResponse,
+    Pool,
     Withdrawn,
     always,
     read_retry_after,
--- a/peridotdock/clients/platform.py
+++ b/peridotdock/clients/platform.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from peridotdock.clients.http import TRANSFER_ERRORS, CONNECT_ERRORS, Pool
+from peridotdock.clients.http import CONNECT_ERRORS, TRANSFER_ERRORS, Pool
 from peridotdock.errors import Failure, Kind, failed
 
 TIMEOUT_SECONDS = 2.0
--- a/peridotdock/platform/store.py
+++ b/peridotdock/platform/store.py
@@ -10,7 +10,7 @@
 import aiohttp
 import msgspec
 
-from peridotdock.clients.http import TRANSFER_ERRORS, CONNECT_ERRORS, Pool
+from peridotdock.clients.http import CONNECT_ERRORS, TRANSFER_ERRORS, Pool
 from peridotdock.clients.platform import Committed, ListedHost, Row, Transaction
 from peridotdock.clients.store_time import StoreTime
 from peridotdock.clients.tables import TableChanges, TableView
--- a/tests/relay/test_starts.py
+++ b/tests/relay/test_starts.py
@@ -21,7 +21,7 @@
 from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from peridotdock.schema.messages import EngineNews
 from tests.builders import make_ctx
-from tests.fakes import PermanentLease, FakeClock
+from tests.fakes import FakeClock, PermanentLease
 from tests.relay.deployment import BOUNDS, Deployment
 from tests.relay.test_decisions import SPEC, engine
 
--- a/tests/relay/test_unanswered_orders.py
+++ b/tests/relay/test_unanswered_orders.py
@@ -16,7 +16,7 @@
 from peridotdock.relay.requests import EndpointEntry, LoadedModel
 from peridotdock.relay.unanswered_orders import MAX_ORDER_DELAY_SECONDS, UnansweredOrders
 from tests.builders import make_ctx
-from tests.fakes import PermanentLease, FakeClock, settle
+from tests.fakes import FakeClock, PermanentLease, settle
 from tests.relay.deployment import BOUNDS
 from tests.relay.test_decisions import NAMES, SPEC
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,11 +16,11 @@
 
 from extras import fleet_processes
 from extras.samples import HANEUL
-from extras.soak.__main__ import run_plan, read_endpoint_record
-from extras.soak.checks import Attempt, LimitedEndpoint, Record, EndpointRecord, find_violations
+from extras.soak.__main__ import read_endpoint_record, run_plan
+from extras.soak.checks import Attempt, EndpointRecord, LimitedEndpoint, Record, find_violations
+from extras.soak.deployment import ROOT, SoakDeployment
 from extras.soak.plan import MAX_FAULT_SECONDS, PLANNED_EVERY, draw_plan
 from extras.soak.proxy import Proxy
-from extras.soak.deployment import ROOT, SoakDeployment
 from peridotdock.clients.endpoint import Call, HttpEndpoints
 from tests.standins.runner import RunnerStandin
 
